--- a/src/benchmark/java/barrowshore/module/PickBenchmark.java
+++ b/src/benchmark/java/barrowshore/module/PickBenchmark.java
@@ -1,14 +1,14 @@
 package barrowshore.module;
 
 import barrowshore.halls.HallRules;
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
 import barrowshore.module.DispatchApi.Note;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Request;
-import barrowshore.module.DispatchApi.Scope;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.nio.ByteBuffer;
@@ -94,7 +94,9 @@
     private Dispatcher module(int me, long seed, Nothing actions) {
         Settings set = new Settings();
         set.seed = seed;
-        set.classes = new JobClass[] {new JobClass(200_000, 1, 5_000_000, 10, 0, Effect.SAFE, Scope.ALL, 0, -1, 0)};
+        set.classes =
+                new JobClass[] {new JobClass(200_000, 1, 5_000_000, 10, 0, RepeatSafety.SAFE, DedupScope.ALL, 0, -1, 0)
+                };
         set.dispatchers = DISPATCHERS;
         set.me = me;
         set.mayTell = true;
--- a/src/main/java/barrowshore/budget/ColdTurns.java
+++ b/src/main/java/barrowshore/budget/ColdWorkerBudget.java
@@ -14,7 +14,7 @@
  * does not enter. Tracks are out of phase, so that some scheduler may send at any time. Many tracks serve many
  * schedulers at once, but each must hold a few jobs to be of use.
  */
-public final class ColdTurns {
+public final class ColdWorkerBudget {
     /** A turn and its quiet end, in windows; the share of the whole that is used, against estimates that may be high. */
     private static final double TURN = 4, QUIET = 1.1, USED = 0.85;
     /** Usual jobs, as the classes' aims have them, for which a fully warm core has room in a track's window. */
--- a/src/main/java/barrowshore/capacity/FleetPlay.java
+++ b/src/main/java/barrowshore/capacity/FleetPlay.java
@@ -4,9 +4,9 @@
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
-import barrowshore.module.DispatchApi.Reports;
+import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Settings;
-import barrowshore.module.Effort;
+import barrowshore.module.WorkCounters;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -91,7 +91,7 @@
         set.mayCancel = true;
         set.mayTell = true;
         set.maxRetryAfter = 2 * S;
-        set.reports = options.reports() ? Reports.ANSWERS : Reports.NONE;
+        set.reports = options.reports() ? ReportSource.ANSWERS : ReportSource.NONE;
         set.tellsStart = true;
         set.progressEvery = PlayedWorker.PROGRESS_EVERY;
         set.connectTimeout = 250 * MS;
@@ -272,7 +272,7 @@
             long refreshes, long refreshVisits, long datagrams, long datagramVisits, long picks, long pickVisits) {
         static final EffortReading NONE = new EffortReading(0, 0, 0, 0, 0, 0);
 
-        static EffortReading of(Effort effort) {
+        static EffortReading of(WorkCounters effort) {
             return new EffortReading(
                     effort.refreshes(),
                     effort.refreshVisits(),
--- a/src/main/java/barrowshore/capacity/PlayedScheduler.java
+++ b/src/main/java/barrowshore/capacity/PlayedScheduler.java
@@ -5,12 +5,12 @@
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
 import barrowshore.module.DispatchApi.Note;
-import barrowshore.module.DispatchApi.Reports;
+import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Request;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import barrowshore.module.Dispatcher;
-import barrowshore.module.Effort;
+import barrowshore.module.WorkCounters;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -119,7 +119,7 @@
         return entriesApplied;
     }
 
-    Effort effort() {
+    WorkCounters effort() {
         return module.effort();
     }
 
@@ -191,7 +191,7 @@
             request.outstanding--;
             request.answered |= status == Status.OK;
             boolean answer = status == Status.OK || status == Status.FULL;
-            DispatchApi.Load load = answer && settings.reports == Reports.ANSWERS ? worker.load() : null;
+            DispatchApi.Load load = answer && settings.reports == ReportSource.ANSWERS ? worker.load() : null;
             long took = kernel.now() - sentAt;
             call(
                     CallKind.OUTCOME,
--- a/src/main/java/barrowshore/capacity/TaskKind.java
+++ b/src/main/java/barrowshore/capacity/TaskKind.java
@@ -1,16 +1,16 @@
 package barrowshore.capacity;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.JobClass;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.RepeatSafety;
 
 /**
  * The classes of tasks that are played: ordinary ones, and short urgent ones that are worth more and can wait for less. A
  * class's aim is its mean work, which is what a module takes for the work until it has seen some.
  */
 enum TaskKind {
-    ORDINARY(Terms.ORDINARY_SHARE, Terms.ORDINARY_SECONDS, 1, Effect.SAFE, 0),
-    URGENT(1 - Terms.ORDINARY_SHARE, Terms.URGENT_SECONDS, 10, Effect.UNSAFE, 1);
+    ORDINARY(Terms.ORDINARY_SHARE, Terms.ORDINARY_SECONDS, 1, RepeatSafety.SAFE, 0),
+    URGENT(1 - Terms.ORDINARY_SHARE, Terms.URGENT_SECONDS, 10, RepeatSafety.UNSAFE, 1);
 
     /** The share of all tasks. */
     final double share;
@@ -19,11 +19,11 @@
 
     final JobClass jobClass;
 
-    TaskKind(double share, double seconds, double worth, Effect effect, int priority) {
+    TaskKind(double share, double seconds, double worth, RepeatSafety effect, int priority) {
         this.share = share;
         this.work = seconds * Terms.MICROS;
-        this.jobClass =
-                new JobClass((long) work, Terms.STRETCH, Terms.DEADLINE, worth, 0, effect, Scope.ALL, 0, -1, priority);
+        this.jobClass = new JobClass(
+                (long) work, Terms.STRETCH, Terms.DEADLINE, worth, 0, effect, DedupScope.ALL, 0, -1, priority);
     }
 
     /** The classes as a module's settings name them, by ordinal. */
--- a/src/main/java/barrowshore/capacity/hollow/HollowScheduler.java
+++ b/src/main/java/barrowshore/capacity/hollow/HollowScheduler.java
@@ -11,9 +11,9 @@
 import barrowshore.module.DispatchApi.Status;
 import barrowshore.module.Dispatcher;
 import barrowshore.net.Clock;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.Mailbox;
-import barrowshore.peer.PeerSide;
+import barrowshore.peer.PeerMessenger;
 import barrowshore.servers.ServiceDiscovery;
 import barrowshore.standin.StandInNode;
 import java.io.IOException;
@@ -70,10 +70,10 @@
     private final ProcessorMeter meter;
     private final ExecutorService pool;
     private final Scheduler timers;
-    private final Dialer dialer;
+    private final ConnectionManager dialer;
     private final Mailbox mailbox;
     private final Dispatcher module;
-    private final PeerSide peers;
+    private final PeerMessenger peers;
     private final ServiceDiscovery discovery;
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
     private final Map<String, OpenRequest> requests = new HashMap<>();
@@ -126,7 +126,8 @@
         int schedulers = config.peers().peers().size();
         heard = new AtomicLongArray(schedulers);
         entered = new AtomicLongArray(schedulers);
-        dialer = new Dialer(pool, timers, CONNECTIONS, 0, config.settings().connectTimeout / 1000, endPoint -> null);
+        dialer = new ConnectionManager(
+                pool, timers, CONNECTIONS, 0, config.settings().connectTimeout / 1000, endPoint -> null);
         module = new Dispatcher(config.settings(), this);
         discovery = new ServiceDiscovery(
                 config.discovery(),
@@ -138,7 +139,7 @@
                 () -> {},
                 config.known(),
                 config.grace());
-        peers = new PeerSide(
+        peers = new PeerMessenger(
                 config.peers(), false, pool, clock, (from, message) -> mailbox.post(() -> peer(from, message)));
         dialer.start();
         call(Part.REFRESH, () -> module.start(now()));
--- a/src/main/java/barrowshore/cli/Main.java
+++ b/src/main/java/barrowshore/cli/Main.java
@@ -13,9 +13,9 @@
 import barrowshore.files.ServersFile;
 import barrowshore.fleet.Fleet;
 import barrowshore.fleet.FleetScenario;
-import barrowshore.list.Guard;
-import barrowshore.list.HandList;
-import barrowshore.node.Node;
+import barrowshore.list.OperatorServerList;
+import barrowshore.list.ServerListChangePolicy;
+import barrowshore.node.JobScheduler;
 import barrowshore.operator.Operator;
 import barrowshore.operator.Setup;
 import barrowshore.operator.SetupFiles;
@@ -82,7 +82,7 @@
                         .onExit()
                         .thenRun(() -> Runtime.getRuntime().halt(1));
             }
-            Node.serve(files(config, operator));
+            JobScheduler.serve(files(config, operator));
         }
     }
 
@@ -94,7 +94,7 @@
 
         @Override
         public void run() throws Exception {
-            Node.rehearse(files(config, null).read());
+            JobScheduler.rehearse(files(config, null).read());
         }
     }
 
@@ -208,7 +208,7 @@
 
         @Override
         public void run() throws IOException {
-            HandList list = ServersFile.read(file);
+            OperatorServerList list = ServersFile.read(file);
             switch (what) {
                 case "check" -> {
                     if (keys != null) {
@@ -222,14 +222,14 @@
                     }
                     new FileMac(keys).sign(file, ids);
                 }
-                case "show" -> Guard.show(list).forEach(System.out::println);
+                case "show" -> ServerListChangePolicy.show(list).forEach(System.out::println);
                 case "diff" -> {
                     if (other == null) {
                         throw new ConfigException("servers diff needs two files");
                     }
-                    HandList next = ServersFile.read(other);
-                    Guard.diff(list, next).forEach(System.out::println);
-                    Guard.Verdict verdict = Guard.judge(list, next, mostLost);
+                    OperatorServerList next = ServersFile.read(other);
+                    ServerListChangePolicy.diff(list, next).forEach(System.out::println);
+                    ServerListChangePolicy.Decision verdict = ServerListChangePolicy.judge(list, next, mostLost);
                     System.out.println(verdict.outcome().name().toLowerCase(Locale.ROOT)
                             + (verdict.why().isEmpty() ? "" : ": " + verdict.why()));
                 }
--- a/src/main/java/barrowshore/client/ClientSide.java
+++ b/src/main/java/barrowshore/client/ClientConnections.java
@@ -1,13 +1,13 @@
 package barrowshore.client;
 
 import barrowshore.config.Config;
-import barrowshore.duty.Standing;
 import barrowshore.module.DispatchApi;
 import barrowshore.net.Clock;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HttpLink;
 import barrowshore.net.Mailbox;
 import barrowshore.request.JobRequest;
+import barrowshore.status.ServiceState;
 import barrowshore.wire.SettingsReader;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -41,7 +41,7 @@
  * of client connections and their limit; each connection is an actor of its own and owns at most one open job request. It
  * must never let a request that is not well formed reach the module, and never answer a request twice.
  */
-public final class ClientSide {
+public final class ClientConnections {
     private static final int MAX_BODY = 64 * 1024;
     private static final int MAX_HEADERS = 16 * 1024;
     /** Microseconds before the client's deadline at which a request is answered come what may: the answer's way back. */
@@ -88,7 +88,7 @@
     private final Clock clock;
     private final Executor pool;
     private final Scheduler timers;
-    private final JobRequest.Desk desk;
+    private final JobRequest.RequestHandler desk;
     private final Semaphore bytes = new Semaphore(MOST_BYTES);
     /** What jobs may be; replaced whole. */
     private volatile Terms terms;
@@ -104,20 +104,20 @@
 
     private final Set<ClientLink> waiting = new TreeSet<>(Comparator.comparingLong(link -> link.number));
     private final Set<ClientLink> idle = new LinkedHashSet<>();
-    private final Supplier<Standing> standing;
+    private final Supplier<ServiceState> standing;
     private long cappedFrom = Long.MAX_VALUE;
     private long cap = Long.MAX_VALUE;
     private Runnable whenEmpty;
     /** Connections so far. */
     private long admitted;
 
-    public ClientSide(
+    public ClientConnections(
             Config config,
             Clock clock,
             Executor pool,
             Scheduler timers,
-            JobRequest.Desk desk,
-            Supplier<Standing> standing,
+            JobRequest.RequestHandler desk,
+            Supplier<ServiceState> standing,
             int most) {
         this.clock = clock;
         this.pool = pool;
@@ -251,7 +251,8 @@
     }
 
     /** One client's connection. */
-    final class ClientLink extends HttpLink implements HttpParser.RequestHandler, Dialer.Accepted, JobRequest.Client {
+    final class ClientLink extends HttpLink
+            implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection, JobRequest.Client {
         private String method;
         private String target;
         private HttpFields.Mutable fields;
@@ -544,7 +545,7 @@
                 throw new BadRequest(400, "the target cannot be read");
             }
             String path = target.substring(1).split("[/?;]", 2)[0];
-            Terms terms = ClientSide.this.terms;
+            Terms terms = ClientConnections.this.terms;
             List<String> tenants = terms.tenants();
             checkForm(terms, path);
             String id = header("X-Request-ID");
@@ -576,9 +577,11 @@
             }
             long deadline = firstByteAt + timeout - Math.min(MARGIN, timeout / 4);
             int jobClass = terms.classes().indexOf(path);
-            DispatchApi.Effect effect = terms.types()[jobClass].effect();
+            DispatchApi.RepeatSafety effect = terms.types()[jobClass].effect();
             // A keyed job's repeats could not be told without.
-            String key = effect == DispatchApi.Effect.KEYED ? header("Idempotency-Key") : fields.get("Idempotency-Key");
+            String key = effect == DispatchApi.RepeatSafety.KEYED
+                    ? header("Idempotency-Key")
+                    : fields.get("Idempotency-Key");
             if (key != null && !KEY.matcher(key).matches()) {
                 throw new BadRequest(400, "Idempotency-Key is not plain text");
             }
--- a/src/main/java/barrowshore/config/Config.java
+++ b/src/main/java/barrowshore/config/Config.java
@@ -34,7 +34,7 @@
         long grace,
         List<String> classes,
         List<String> tenants,
-        ServerList.Names names,
+        ServerList.ZoneKindNames names,
         ServerList.Update known,
         Peering peers,
         Set<String> served,
@@ -171,7 +171,7 @@
         }
         Map<?, ?> nested = map(root.get("settings"), "settings");
         SettingsReader reader = SettingsReader.of(nested);
-        ServerList.Names names = new ServerList.Names(reader.items("zones"), reader.items("kinds"));
+        ServerList.ZoneKindNames names = new ServerList.ZoneKindNames(reader.items("zones"), reader.items("kinds"));
         Settings settings;
         long keepAlive;
         long grace;
--- a/src/main/java/barrowshore/emulate/Attempt.java
+++ b/src/main/java/barrowshore/emulate/Attempt.java
@@ -3,7 +3,7 @@
 import barrowshore.model.NodeModel;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.Note;
-import barrowshore.module.DispatchApi.Reports;
+import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Status;
 
 /** One sending of a request to a machine, over connections that take time and may be cut. */
@@ -59,7 +59,7 @@
                         open.answered,
                         status,
                         kernel.now() - sentAt,
-                        answer && scheduler.settings().reports == Reports.ANSWERS ? node.reported : null);
+                        answer && scheduler.settings().reports == ReportSource.ANSWERS ? node.reported : null);
         open.forget();
     }
 
--- a/src/main/java/barrowshore/emulate/ClientJob.java
+++ b/src/main/java/barrowshore/emulate/ClientJob.java
@@ -1,7 +1,7 @@
 package barrowshore.emulate;
 
 import barrowshore.emulate.Deployment.ClassOf;
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -45,7 +45,7 @@
      */
     void started(EmulatedNode node, long came, Object request) {
         for (Start s : starts) {
-            boolean dropped = jobClass.effect() == Effect.KEYED
+            boolean dropped = jobClass.effect() == RepeatSafety.KEYED
                     && (s.request != request
                             || came - s.came < jobClass.window()
                                     && switch (jobClass.scope()) {
@@ -53,14 +53,14 @@
                                         case ZONE -> s.node.zone == node.zone;
                                         case CELL -> s.node.cell == node.cell;
                                     });
-            world.report.twice += jobClass.effect() == Effect.SAFE || dropped ? 0 : 1;
+            world.report.twice += jobClass.effect() == RepeatSafety.SAFE || dropped ? 0 : 1;
         }
         starts.add(new Start(node, came, request));
     }
 
     /** A client knows how long nodes remember its key. */
     boolean mayTryAgain(long after) {
-        return jobClass.effect() != Effect.KEYED
+        return jobClass.effect() != RepeatSafety.KEYED
                 || starts.stream()
                         .allMatch(s -> world.kernel.now() + after + jobClass.deadline() - s.came < jobClass.window());
     }
--- a/src/main/java/barrowshore/emulate/Deployment.java
+++ b/src/main/java/barrowshore/emulate/Deployment.java
@@ -1,8 +1,8 @@
 package barrowshore.emulate;
 
-import barrowshore.module.DispatchApi.Effect;
-import barrowshore.module.DispatchApi.Reports;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.DedupScope;
+import barrowshore.module.DispatchApi.RepeatSafety;
+import barrowshore.module.DispatchApi.ReportSource;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -52,8 +52,8 @@
             double stretch,
             long deadline,
             double worth,
-            Effect effect,
-            Scope scope,
+            RepeatSafety effect,
+            DedupScope scope,
             long window,
             double[] slots,
             double memory) {}
@@ -67,7 +67,7 @@
      * bySpeed: whether a machine's registered size is its cores by their usual speed, or its cores.
      */
     public record Told(
-            Reports reports,
+            ReportSource reports,
             boolean inFlight,
             boolean queue,
             boolean free,
@@ -106,8 +106,8 @@
                             2,
                             5 * S,
                             2,
-                            Effect.SAFE,
-                            Scope.ALL,
+                            RepeatSafety.SAFE,
+                            DedupScope.ALL,
                             0,
                             new double[] {1},
                             0),
@@ -120,8 +120,8 @@
                             1.75,
                             5 * S,
                             10,
-                            Effect.UNSAFE,
-                            Scope.ALL,
+                            RepeatSafety.UNSAFE,
+                            DedupScope.ALL,
                             0,
                             new double[] {0.6, 0.25, 0.15},
                             0),
@@ -134,8 +134,8 @@
                             1.75,
                             15 * S,
                             5,
-                            Effect.UNSAFE,
-                            Scope.ALL,
+                            RepeatSafety.UNSAFE,
+                            DedupScope.ALL,
                             0,
                             new double[] {0.6, 0.25, 0.15},
                             0),
@@ -148,14 +148,14 @@
                             2,
                             5 * S,
                             8,
-                            Effect.UNSAFE,
-                            Scope.ALL,
+                            RepeatSafety.UNSAFE,
+                            DedupScope.ALL,
                             0,
                             new double[] {0.8, 0.2},
                             0)),
             List.of(new Machine(0.57, 0.85, 1.1, 0, 9.5, 18), new Machine(0.43, 0.51, 0.69, 0, 9.5, 18)),
             new Told(
-                    Reports.NONE,
+                    ReportSource.NONE,
                     true,
                     false,
                     true,
@@ -199,7 +199,7 @@
     String features() {
         List<String> words = new ArrayList<>();
         words.add("reports "
-                + (told.reports == Reports.NONE
+                + (told.reports == ReportSource.NONE
                         ? "none"
                         : told.reports.name().toLowerCase(Locale.ROOT) + "[" + (told.inFlight ? "i" : "")
                                 + (told.queue ? "q" : "") + (told.free ? "f" : "") + "]"));
@@ -211,7 +211,7 @@
         words.add((allowed.copies ? "copies" : "no copies") + (allowed.cancel ? ", cancel" : ""));
         words.add(prices.worthByWork ? "by work" : "whole");
         words.add(classes.stream()
-                .map(k -> k.effect == Effect.KEYED
+                .map(k -> k.effect == RepeatSafety.KEYED
                         ? "keyed-" + k.scope.name().toLowerCase(Locale.ROOT)
                         : k.effect.name().toLowerCase(Locale.ROOT))
                 .distinct()
@@ -265,12 +265,13 @@
                 shares[c] = in(0.15, 0.5);
                 sum += shares[c];
             }
-            Scope scope = one(Scope.ALL, Scope.ZONE, Scope.CELL);
+            DedupScope scope = one(DedupScope.ALL, DedupScope.ZONE, DedupScope.CELL);
             boolean memory = chance(0.3);
             List<ClassOf> all = new ArrayList<>();
             for (int c = 0; c < count; c++) {
                 double work = c == 0 ? in(100, 250) * MS : in(300, 1400) * MS;
-                Effect effect = c == 0 ? Effect.SAFE : one(Effect.SAFE, Effect.KEYED, Effect.UNSAFE);
+                RepeatSafety effect =
+                        c == 0 ? RepeatSafety.SAFE : one(RepeatSafety.SAFE, RepeatSafety.KEYED, RepeatSafety.UNSAFE);
                 double wide = c == 0 ? 0 : in(0, 0.5);
                 all.add(new ClassOf(
                         "c" + c,
@@ -302,7 +303,8 @@
         }
 
         private Told told() {
-            Reports reports = one(Reports.NONE, Reports.ANSWERS, Reports.ANSWERS, Reports.PROBES);
+            ReportSource reports =
+                    one(ReportSource.NONE, ReportSource.ANSWERS, ReportSource.ANSWERS, ReportSource.PROBES);
             int fields = 1 + random.nextInt(7);
             boolean starts = chance(0.7);
             return new Told(
@@ -365,7 +367,7 @@
                     random.nextInt(2),
                     allowedLoss(d),
                     0,
-                    d.told().reports() == Reports.PROBES,
+                    d.told().reports() == ReportSource.PROBES,
                     specs,
                     happenings);
         }
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -7,7 +7,7 @@
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
-import barrowshore.module.DispatchApi.Reports;
+import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Request;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
@@ -99,7 +99,8 @@
         set.maxRetryAfter = 2 * World.S;
         set.liveRatings = deployment.told().weights() == Deployment.Weights.LIVE;
         set.askForList = deployment.told().listAsked();
-        set.reports = scenario.probes() ? Reports.PROBES : deployment.told().reports();
+        set.reports =
+                scenario.probes() ? ReportSource.PROBES : deployment.told().reports();
         set.tellsStart = deployment.told().starts();
         set.progressEvery = deployment.told().progress();
         set.connectTimeout = CONNECT_TIMEOUT;
--- a/src/main/java/barrowshore/emulate/Emulator.java
+++ b/src/main/java/barrowshore/emulate/Emulator.java
@@ -3,13 +3,13 @@
 import barrowshore.module.DispatchApi;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.Dispatcher;
-import barrowshore.module.IndexTables;
+import barrowshore.module.IndexTableCache;
 import barrowshore.operator.Operator;
 
 /** The way in: one scenario, one seed, one report. The same arguments always give the same report. */
 public final class Emulator {
     /** Pure figures, the same for all: worked out once for each thread that plays. */
-    private static final ThreadLocal<IndexTables> TABLES = ThreadLocal.withInitial(IndexTables::new);
+    private static final ThreadLocal<IndexTableCache> TABLES = ThreadLocal.withInitial(IndexTableCache::new);
 
     private Emulator() {}
 
--- a/src/main/java/barrowshore/emulate/OpenRequest.java
+++ b/src/main/java/barrowshore/emulate/OpenRequest.java
@@ -1,6 +1,6 @@
 package barrowshore.emulate;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -72,7 +72,7 @@
             world.clients.retry(job, world.draws.random.nextDouble() < 0.9 ? retryAfter : 0);
         } else {
             world.report.failed(job.since - World.START);
-            if (job.jobClass.effect() == Effect.SAFE) {
+            if (job.jobClass.effect() == RepeatSafety.SAFE) {
                 world.clients.retry(job, 0);
             }
         }
--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * What the other schedulers have told of their slots in flight. Sums are kept by the {@link Sums} of the caller, which
+ * What the other schedulers have told of their slots in flight. Sums are kept by the {@link SlotSums} of the caller, which
  * hears of each difference as it comes, so that nothing is ever added up over all peers and workers. Pure: time is what the
  * caller says, in microseconds.
  */
 public final class PeerSlots {
     /** The sums by worker over all peers. */
-    public interface Sums {
+    public interface SlotSums {
         /**
          * The slots at all workers whose full names are in a range have changed by so many; false if there is none, in
          * which case the figure is not kept.
@@ -36,7 +36,7 @@
     private final Peer[] peers;
     private final int me;
     private final long silence;
-    private final Sums sums;
+    private final SlotSums sums;
     private long malformed;
     private long unknownWorkers;
     private long visits;
@@ -46,7 +46,7 @@
      *
      * @param silence microseconds without a datagram after which what a peer has told counts no more
      */
-    public PeerSlots(int schedulers, int me, long silence, Sums sums) {
+    public PeerSlots(int schedulers, int me, long silence, SlotSums sums) {
         this.peers = new Peer[schedulers];
         this.me = me;
         this.silence = silence;
--- a/src/main/java/barrowshore/files/ServersFile.java
+++ b/src/main/java/barrowshore/files/ServersFile.java
@@ -3,8 +3,8 @@
 import barrowshore.config.ConfigException;
 import barrowshore.config.XmlFile;
 import barrowshore.config.XmlFile.Element;
-import barrowshore.list.HandList;
-import barrowshore.list.HandList.Server;
+import barrowshore.list.OperatorServerList;
+import barrowshore.list.OperatorServerList.Server;
 import inet.ipaddr.AddressStringException;
 import inet.ipaddr.HostName;
 import inet.ipaddr.IPAddress;
@@ -31,16 +31,16 @@
     private ServersFile() {}
 
     /** Reads a file; a {@link ConfigException} names line, column and element. */
-    public static HandList read(Path file) {
+    public static OperatorServerList read(Path file) {
         return of(file.toString(), XmlFile.read(file, ServersFile.class, "servers.xsd", MOST_BYTES));
     }
 
     /** Reads bytes as the file of that name. */
-    public static HandList parse(String file, byte[] bytes) {
+    public static OperatorServerList parse(String file, byte[] bytes) {
         return of(file, XmlFile.read(file, bytes, ServersFile.class, "servers.xsd", MOST_BYTES));
     }
 
-    private static HandList of(String file, Element root) {
+    private static OperatorServerList of(String file, Element root) {
         IPv4AddressTrie four = new IPv4AddressTrie();
         IPv6AddressTrie six = new IPv6AddressTrie();
         Element networks = root.one("networks");
@@ -76,7 +76,7 @@
                         "endpoint " + e.get("endpoint") + " is that of " + before.uid() + " in line " + before.line());
             }
         }
-        return new HandList(
+        return new OperatorServerList(
                 file, (long) root.number("revision"), isTrue(root.get("force")), root.micros("grace"), servers);
     }
 
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -1,8 +1,8 @@
 package barrowshore.files;
 
 import barrowshore.config.ConfigException;
-import barrowshore.list.Guard;
-import barrowshore.list.HandList;
+import barrowshore.list.OperatorServerList;
+import barrowshore.list.ServerListChangePolicy;
 import barrowshore.net.Mailbox;
 import java.io.IOException;
 import java.io.InputStream;
@@ -40,13 +40,13 @@
     private final Path file;
     private final double mostLost;
     private final FileMac macs;
-    private final Function<HandList, RuntimeException> taker;
+    private final Function<OperatorServerList, RuntimeException> taker;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final WatchService watch;
     private byte[] seen;
     private byte[] judged;
-    private HandList inUse;
+    private OperatorServerList inUse;
     private boolean looking;
     private boolean stopped;
     private boolean paused;
@@ -54,7 +54,7 @@
 
     /**
      * Watches a file from now on. taker: puts a file to use, in this actor's mailbox, and returns what is wrong with it
-     * there, or null. mostLost: see {@link Guard}; macs: what a file
+     * there, or null. mostLost: see {@link ServerListChangePolicy}; macs: what a file
      * must be signed by, null: nothing.
      */
     public WatchedFile(
@@ -63,7 +63,7 @@
             FileMac macs,
             Executor pool,
             Scheduler timers,
-            Function<HandList, RuntimeException> taker) {
+            Function<OperatorServerList, RuntimeException> taker) {
         this.file = file.toAbsolutePath();
         this.mostLost = mostLost;
         this.macs = macs;
@@ -166,8 +166,8 @@
                 macs.verify(file, bytes);
                 judged = bytes;
             }
-            HandList next = ServersFile.parse(file.toString(), bytes);
-            Guard.Verdict verdict = Guard.judge(inUse, next, mostLost);
+            OperatorServerList next = ServersFile.parse(file.toString(), bytes);
+            ServerListChangePolicy.Decision verdict = ServerListChangePolicy.judge(inUse, next, mostLost);
             switch (verdict.outcome()) {
                 case TAKEN -> take(next);
                 case SAME -> inUse = next;
@@ -180,7 +180,7 @@
         }
     }
 
-    private void take(HandList next) {
+    private void take(OperatorServerList next) {
         RuntimeException wrong = taker.apply(next);
         if (wrong != null) {
             say(Level.WARNING, "left unused: " + wrong.getMessage() + kept());
@@ -212,7 +212,7 @@
     }
 
     /** Shows the file in use (null: none) to one who only looks. */
-    public void look(Consumer<HandList> looker) {
+    public void look(Consumer<OperatorServerList> looker) {
         mailbox.post(() -> looker.accept(inUse));
     }
 
--- a/src/main/java/barrowshore/halls/Hall.java
+++ b/src/main/java/barrowshore/halls/Hall.java
@@ -48,7 +48,7 @@
     HallRules rules;
     private final DoubleSupplier random;
     final int number;
-    final List<Place> places = new ArrayList<>();
+    final List<HallServer> places = new ArrayList<>();
     HallState state = HallState.SERVING;
     Why why = Why.NONE;
     long since;
@@ -78,7 +78,7 @@
     private long signAt;
     private long troubledAt = Long.MIN_VALUE / 2;
     /** The server that a dark hall's one trial is out at, and since when. */
-    private Place trial;
+    private HallServer trial;
 
     private long trialSentAt;
 
@@ -122,7 +122,7 @@
         firm = false;
         signAt = Long.MIN_VALUE / 2;
         troubledAt = Long.MAX_VALUE;
-        for (Place p : places) {
+        for (HallServer p : places) {
             signAt = Math.max(signAt, p.signAt);
             draining += p.listed && p.draining ? 1 : 0;
             if (!p.counts()) {
@@ -198,7 +198,7 @@
 
     /** Whether what it had drains, or drained before it went. */
     private boolean drained() {
-        for (Place p : places) {
+        for (HallServer p : places) {
             if (p.draining) {
                 return true;
             }
@@ -225,7 +225,7 @@
         }
         if (why == Why.PLANNED || why == Why.UNLISTED) {
             boolean fresh = false;
-            for (Place p : places) {
+            for (HallServer p : places) {
                 fresh |= p.counts() && (p.startedAt > darkAt || p.signAt < darkAt - FRESH);
             }
             // What was only not listed, and kept answering, never was away.
@@ -292,7 +292,7 @@
     }
 
     private String comeBack(long now) {
-        for (Place p : places) {
+        for (HallServer p : places) {
             p.unprove(now, now + (long) (random.getAsDouble() * rules.trialEvery()));
             if (!suspect()) {
                 p.allow = Math.max(1, p.slots / 2); // it was well all the time; still it is not hit by all at once
@@ -327,7 +327,7 @@
     }
 
     /** Whether a job may go to this server now. */
-    boolean takes(long now, Place p, double size, boolean repeatable) {
+    boolean takes(long now, HallServer p, double size, boolean repeatable) {
         return switch (state) {
             case SERVING -> true;
             case DOUBTED -> !p.lost();
@@ -349,11 +349,11 @@
     }
 
     /** No hall is any good: what is left is one job at a time for each server, wherever one may still be. */
-    boolean takesInPanic(Place p) {
+    boolean takesInPanic(HallServer p) {
         return !p.trying;
     }
 
-    void sent(long now, Place p, double size) {
+    void sent(long now, HallServer p, double size) {
         if (state == HallState.DARK) {
             trial = p;
             trialSentAt = now;
@@ -369,7 +369,7 @@
         p.held += size;
     }
 
-    void ended(long now, Place p, long sentAt, double size, boolean served) {
+    void ended(long now, HallServer p, long sentAt, double size, boolean served) {
         if (p == trial && sentAt >= trialSentAt) {
             trial = null;
         }
@@ -394,8 +394,8 @@
         }
         int left = state == HallState.DARK ? 1 : PROBES;
         while (left-- > 0) {
-            Place next = null;
-            for (Place p : places) {
+            HallServer next = null;
+            for (HallServer p : places) {
                 boolean due = p.counts()
                         && now - p.probedAt > PROBE_PAUSE
                         && (state == HallState.DARK
--- a/src/main/java/barrowshore/halls/HallGate.java
+++ b/src/main/java/barrowshore/halls/HallPolicy.java
@@ -7,7 +7,7 @@
  * server; the gate says which halls a request may go to and at whose expense. Not thread-safe; time is what the caller
  * says, microseconds that never decrease. {@link #OFF} lets everything through and remembers nothing.
  */
-public interface HallGate {
+public interface HallPolicy {
     /** The price of a hall that is closed to a request. */
     double CLOSED = Double.POSITIVE_INFINITY;
 
@@ -15,7 +15,7 @@
     byte MARK = 3;
 
     /** The gate of a scheduler whose operators have said nothing of halls. */
-    HallGate OFF = new HallGate() {};
+    HallPolicy OFF = new HallPolicy() {};
 
     /** Goes on under other rules for the same halls; false: it cannot, and has to be made anew. */
     default boolean rules(HallRules rules) {
@@ -23,30 +23,30 @@
     }
 
     /** The handle of a server, kept by the caller; null: there are no halls. */
-    default Place place(String server) {
+    default HallServer place(String server) {
         return null;
     }
 
     /** What the list says of a server now. slots and speed: what it can do, by the caller's own measure. */
-    default void listed(long now, Place place, int zone, boolean ready, boolean draining, long startedAt) {}
+    default void listed(long now, HallServer place, int zone, boolean ready, boolean draining, long startedAt) {}
 
     /** What the module believes of a listed server, renewed now and then; silent: signs that were due did not come. */
-    default void see(long now, Place place, double slots, double speed, boolean silent) {}
+    default void see(long now, HallServer place, double slots, double speed, boolean silent) {}
 
     /** A server has given a sign: it started a job, went on with one, or answered. */
-    default void sign(long now, Place place) {}
+    default void sign(long now, HallServer place) {}
 
     /** A probe of a server has ended; answered: by itself, whatever it said. */
-    default void probed(long now, Place place, boolean answered) {}
+    default void probed(long now, HallServer place, boolean answered) {}
 
     /** Something speaks against a server. */
-    default void against(long now, Place place, Place.Against what) {}
+    default void against(long now, HallServer place, HallServer.Fault what) {}
 
     /** A job was sent. wait: how long it is expected to wait there, as a share of the usual wanted time. */
-    default void sent(long now, Place place, double slots, double wait) {}
+    default void sent(long now, HallServer place, double slots, double wait) {}
 
     /** A job that was sent at that time has ended; served: with a result. */
-    default void ended(long now, Place place, long sentAt, double slots, boolean served) {}
+    default void ended(long now, HallServer place, long sentAt, double slots, boolean served) {}
 
     /** A request of our own was turned down; worth: as in {@link #weigh}. */
     default void refused(long now, double worth) {}
@@ -72,7 +72,7 @@
     }
 
     /** Whether the request weighed last may go to this server, as far as its hall is concerned. */
-    default boolean takes(Place place) {
+    default boolean takes(HallServer place) {
         return true;
     }
 
@@ -82,17 +82,17 @@
     }
 
     /** Whether the server's hall is in use; else its capacity counts for nothing. */
-    default boolean open(Place place) {
+    default boolean open(HallServer place) {
         return true;
     }
 
     /** Whether the server's hall is anything but serving. */
-    default boolean troubled(Place place) {
+    default boolean troubled(HallServer place) {
         return false;
     }
 
     /** Whether a request that this server gave back, or lost, may be tried again. worth: as in {@link #weigh}. */
-    default boolean mayRepeat(long now, Place place, double worth) {
+    default boolean mayRepeat(long now, HallServer place, double worth) {
         return true;
     }
 
--- a/src/main/java/barrowshore/halls/Place.java
+++ b/src/main/java/barrowshore/halls/HallServer.java
@@ -4,9 +4,9 @@
  * What is known of one server as a part of its hall: whether it is listed, what it can do, what of ours is out
  * there, the last sign of it and what speaks against it. It belongs to one {@link Halls} and decides nothing.
  */
-public final class Place {
+public final class HallServer {
     /** What speaks against a server. */
-    public enum Against {
+    public enum Fault {
         /** Refused, or never come up; or a probe without an answer. */
         UNREACHABLE,
         /** Attempts are out there whose signs are overdue. */
@@ -49,7 +49,7 @@
     long nextTry;
     long probedAt = Long.MIN_VALUE / 2;
 
-    Place(String id) {
+    HallServer(String id) {
         this.id = id;
     }
 
--- a/src/main/java/barrowshore/halls/Halls.java
+++ b/src/main/java/barrowshore/halls/Halls.java
@@ -13,7 +13,7 @@
  * halls lend, and what peers have told of both. Pure: time and randomness are handed in. It must never choose a server,
  * and never let work from other halls over its part of a hall.
  */
-public final class Halls implements HallGate {
+public final class Halls implements HallPolicy {
     /** A peer's word counts for so long. */
     private static final long HEARD = 1_500_000;
     /** A sign that a peer had this long ago says that the hall serves. */
@@ -60,7 +60,7 @@
     private final Hall[] halls;
     private final SpillShare[] shares;
     private final Peer[] peers;
-    private final Map<String, Place> places = new HashMap<>();
+    private final Map<String, HallServer> places = new HashMap<>();
     private final List<String> probes = new ArrayList<>();
     /** Of the request weighed last: its size, whether it may run twice, the time, and what each hall costs it. */
     private final double[] prices;
@@ -120,12 +120,12 @@
     // What there is, and what speaks for and against it.
 
     @Override
-    public Place place(String server) {
-        return places.computeIfAbsent(server, Place::new);
+    public HallServer place(String server) {
+        return places.computeIfAbsent(server, HallServer::new);
     }
 
     @Override
-    public void listed(long now, Place p, int zone, boolean ready, boolean draining, long startedAt) {
+    public void listed(long now, HallServer p, int zone, boolean ready, boolean draining, long startedAt) {
         int hall = rules.hall(zone);
         if (p.hall != hall) {
             if (p.hall >= 0) {
@@ -147,45 +147,45 @@
     }
 
     @Override
-    public void see(long now, Place p, double slots, double speed, boolean silent) {
+    public void see(long now, HallServer p, double slots, double speed, boolean silent) {
         p.slots = slots;
         p.weight = slots * speed;
         if (silent) {
-            against(now, p, Place.Against.SILENT);
+            against(now, p, HallServer.Fault.SILENT);
         }
     }
 
     @Override
-    public void sign(long now, Place p) {
+    public void sign(long now, HallServer p) {
         p.signAt = now;
         p.lostAt = 0;
         p.against = 0;
     }
 
     @Override
-    public void against(long now, Place p, Place.Against what) {
-        boolean firm = what != Place.Against.RESET;
+    public void against(long now, HallServer p, HallServer.Fault what) {
+        boolean firm = what != HallServer.Fault.RESET;
         if (p.lostAt == 0) {
             p.lostAt = now;
             p.soft = true;
         }
         p.soft &= !firm;
         // Silence goes on and on; a dial that fails, or a probe, is a word each time.
-        p.against += what == Place.Against.SILENT && p.against > 0 && now - p.againstAt < HEARD ? 0 : 1;
+        p.against += what == HallServer.Fault.SILENT && p.against > 0 && now - p.againstAt < HEARD ? 0 : 1;
         p.againstAt = now;
     }
 
     @Override
-    public void probed(long now, Place p, boolean answered) {
+    public void probed(long now, HallServer p, boolean answered) {
         if (answered) {
             sign(now, p);
         } else {
-            against(now, p, Place.Against.UNREACHABLE);
+            against(now, p, HallServer.Fault.UNREACHABLE);
         }
     }
 
     @Override
-    public void sent(long now, Place p, double slots, double wait) {
+    public void sent(long now, HallServer p, double slots, double wait) {
         p.out += slots;
         p.jobsOut++;
         if (p.hall != rules.home()) {
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void ended(long now, Place p, long sentAt, double slots, boolean served) {
+    public void ended(long now, HallServer p, long sentAt, double slots, boolean served) {
         p.jobsOut = Math.max(0, p.jobsOut - 1);
         p.out = p.jobsOut == 0 ? 0 : p.out - slots;
         if (p.hall != rules.home()) {
@@ -299,7 +299,7 @@
     }
 
     @Override
-    public boolean takes(Place p) {
+    public boolean takes(HallServer p) {
         return panic ? halls[p.hall].takesInPanic(p) : halls[p.hall].takes(now, p, size, repeatable);
     }
 
@@ -309,18 +309,18 @@
     }
 
     @Override
-    public boolean open(Place p) {
+    public boolean open(HallServer p) {
         HallState state = halls[p.hall].state;
         return state != HallState.DARK && state != HallState.HELD && (state != HallState.DOUBTED || !p.lost());
     }
 
     @Override
-    public boolean troubled(Place p) {
+    public boolean troubled(HallServer p) {
         return halls[p.hall].state != HallState.SERVING;
     }
 
     @Override
-    public boolean mayRepeat(long now, Place p, double worth) {
+    public boolean mayRepeat(long now, HallServer p, double worth) {
         if (halls[p.hall].state == HallState.SERVING) {
             return true; // one server's trouble: the module's own budget will do
         }
--- a/src/main/java/barrowshore/list/HandList.java
+++ b/src/main/java/barrowshore/list/OperatorServerList.java
@@ -8,10 +8,11 @@
 
 /**
  * A list of servers as operators write one by hand, whatever it was read from. It owns this form alone: pure, checked
- * by its reader, and judged by {@link Guard}. revision: goes up with each change; force: the operators mean it, however
- * much it takes away; grace: how long what it no longer names drains before it is gone, microseconds; servers: by uid.
+ * by its reader, and judged by {@link ServerListChangePolicy}. revision: goes up with each change; force: the operators
+ * mean it, however much it takes away; grace: how long what it no longer names drains before it is gone, microseconds;
+ * servers: by uid.
  */
-public record HandList(String name, long revision, boolean force, long grace, Map<String, Server> servers) {
+public record OperatorServerList(String name, long revision, boolean force, long grace, Map<String, Server> servers) {
     /** One server, as the file says. */
     public record Server(
             String uid,
@@ -37,7 +38,7 @@
     }
 
     /** Whether it names the same servers in the same way. */
-    public boolean same(HandList other) {
+    public boolean same(OperatorServerList other) {
         return servers.size() == other.servers.size()
                 && servers.values().stream()
                         .allMatch(s -> other.servers.containsKey(s.uid) && s.same(other.servers.get(s.uid)));
@@ -47,7 +48,7 @@
      * The file as a list for a scheduler with these names. bootMicros: when a server that is not said to be warm counts
      * as started, so that it is cold; by its uid. An unknown hall or model is an error.
      */
-    public ServerList.Update update(ServerList.Names names, ToLongFunction<Server> bootMicros) {
+    public ServerList.Update update(ServerList.ZoneKindNames names, ToLongFunction<Server> bootMicros) {
         List<ServerList.Entry> entries = new ArrayList<>();
         for (Server s : servers.values()) {
             int zone = names.zones().indexOf(s.hall);
--- a/src/main/java/barrowshore/list/ServerList.java
+++ b/src/main/java/barrowshore/list/ServerList.java
@@ -70,10 +70,10 @@
     }
 
     /** The settings' names for zones and kinds, by position. */
-    public record Names(List<String> zones, List<String> kinds) {}
+    public record ZoneKindNames(List<String> zones, List<String> kinds) {}
 
     /** Reads a list in discovery's form; an IllegalArgumentException names what is wrong. */
-    public static Update read(Map<?, ?> json, Names names) {
+    public static Update read(Map<?, ?> json, ZoneKindNames names) {
         if (!(json.get("targets") instanceof List<?> targets)) {
             throw new IllegalArgumentException("targets is missing or not a list");
         }
--- a/src/main/java/barrowshore/list/Guard.java
+++ b/src/main/java/barrowshore/list/ServerListChangePolicy.java
@@ -1,6 +1,6 @@
 package barrowshore.list;
 
-import barrowshore.list.HandList.Server;
+import barrowshore.list.OperatorServerList.Server;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -12,9 +12,9 @@
  * What a new servers' file may change at once. It judges, and changes nothing: a file that takes away too much is held
  * until a later revision carries {@code force}. Pure.
  */
-public final class Guard {
+public final class ServerListChangePolicy {
     /** What becomes of a file, and why. */
-    public record Verdict(Outcome outcome, String why) {}
+    public record Decision(Outcome outcome, String why) {}
 
     /** taken; the same as before; held until a later revision confirms it; refused. */
     public enum Outcome {
@@ -24,30 +24,30 @@
         REFUSED
     }
 
-    private Guard() {}
+    private ServerListChangePolicy() {}
 
     /** Judges a file against the one in use (null: none). mostLost: the share of capacity that may go at once. */
-    public static Verdict judge(HandList inUse, HandList next, double mostLost) {
+    public static Decision judge(OperatorServerList inUse, OperatorServerList next, double mostLost) {
         if (inUse == null) {
             return next.servers().isEmpty() && !next.force()
-                    ? new Verdict(Outcome.HELD, "it names no server; force=\"true\" in a later revision confirms it")
-                    : new Verdict(Outcome.TAKEN, "the first one");
+                    ? new Decision(Outcome.HELD, "it names no server; force=\"true\" in a later revision confirms it")
+                    : new Decision(Outcome.TAKEN, "the first one");
         }
         if (next.revision() < inUse.revision()) {
-            return new Verdict(
+            return new Decision(
                     Outcome.REFUSED,
                     "its revision " + next.revision() + " is before " + inUse.revision() + ", which is in use");
         }
         if (next.same(inUse)) {
-            return new Verdict(Outcome.SAME, "it names the same servers");
+            return new Decision(Outcome.SAME, "it names the same servers");
         }
         if (next.revision() == inUse.revision()) {
-            return new Verdict(
+            return new Decision(
                     Outcome.REFUSED,
                     "it differs from revision " + inUse.revision() + ", which is in use, but has the same number");
         }
         if (next.force()) {
-            return new Verdict(Outcome.TAKEN, "forced");
+            return new Decision(Outcome.TAKEN, "forced");
         }
         Map<String, Double> had = capacity(inUse.servers().values()),
                 has = capacity(next.servers().values());
@@ -58,18 +58,18 @@
             lost += Math.max(0, weight(s) - (now == null ? 0 : weight(now)));
         }
         if (has.isEmpty()) {
-            return new Verdict(
+            return new Decision(
                     Outcome.HELD, "it leaves no server in use; force=\"true\" in a later revision confirms it");
         }
         for (String hall : had.keySet()) {
             if (!has.containsKey(hall)) {
-                return new Verdict(
+                return new Decision(
                         Outcome.HELD,
                         "it leaves hall " + hall + " empty; force=\"true\" in a later revision confirms it");
             }
         }
         if (before > 0 && lost / before > mostLost) {
-            return new Verdict(
+            return new Decision(
                     Outcome.HELD,
                     String.format(
                             Locale.ROOT,
@@ -78,7 +78,7 @@
                             100 * lost / before,
                             100 * mostLost));
         }
-        return new Verdict(Outcome.TAKEN, "");
+        return new Decision(Outcome.TAKEN, "");
     }
 
     private static double weight(Server s) {
@@ -96,7 +96,7 @@
     }
 
     /** What one file makes of another, a line for each server that changes. */
-    public static List<String> diff(HandList from, HandList to) {
+    public static List<String> diff(OperatorServerList from, OperatorServerList to) {
         List<String> lines = new ArrayList<>();
         for (Server s : to.servers().values()) {
             Server was = from.servers().get(s.uid());
@@ -115,7 +115,7 @@
     }
 
     /** The list, a line for each server. */
-    public static List<String> show(HandList file) {
+    public static List<String> show(OperatorServerList file) {
         return file.servers().values().stream()
                 .map(s -> s.uid() + " " + describe(s))
                 .toList();
--- a/src/main/java/barrowshore/list/ServerBook.java
+++ b/src/main/java/barrowshore/list/ServerListMerger.java
@@ -23,7 +23,7 @@
  * that is wrongly sent work. What no source names any more drains for its source's grace, then is gone. A source that
  * falls silent keeps what it said, for as long as it takes; one that is withdrawn gives up all that it named.
  */
-public final class ServerBook {
+public final class ServerListMerger {
     /** What one source has said, and until when what it gave up still drains there. */
     private static final class Source {
         final int rank;
@@ -41,7 +41,7 @@
     }
 
     /** What is known of a source: its rank, version, number of servers, and when it was heard last, microseconds. */
-    public record Standing(String source, int rank, long rev, int servers, long heardAt) {}
+    public record SourceStatus(String source, int rank, long rev, int servers, long heardAt) {}
 
     private final Map<String, Source> sources = new LinkedHashMap<>();
     private Map<String, Entry> told = new LinkedHashMap<>();
@@ -123,9 +123,9 @@
     }
 
     /** How the sources stand. */
-    public List<Standing> standings() {
-        List<Standing> all = new ArrayList<>();
-        sources.forEach((name, s) -> all.add(new Standing(name, s.rank, s.rev, s.entries.size(), s.heardAt)));
+    public List<SourceStatus> standings() {
+        List<SourceStatus> all = new ArrayList<>();
+        sources.forEach((name, s) -> all.add(new SourceStatus(name, s.rank, s.rev, s.entries.size(), s.heardAt)));
         return all;
     }
 
--- a/src/main/java/barrowshore/module/DispatchApi.java
+++ b/src/main/java/barrowshore/module/DispatchApi.java
@@ -14,14 +14,14 @@
  */
 public interface DispatchApi {
     /** What a repeat of a job of a class may do. */
-    enum Effect {
+    enum RepeatSafety {
         SAFE,
         KEYED,
         UNSAFE
     }
 
     /** For keyed jobs: the workers that drop each other's repeats. */
-    enum Scope {
+    enum DedupScope {
         ALL,
         ZONE,
         CELL
@@ -60,7 +60,7 @@
     }
 
     /** Where load reports come from. */
-    enum Reports {
+    enum ReportSource {
         NONE,
         ANSWERS,
         PROBES
@@ -79,8 +79,8 @@
             long deadline,
             double worth,
             double lateShare,
-            Effect effect,
-            Scope scope,
+            RepeatSafety effect,
+            DedupScope scope,
             long repeatWindow,
             int kind,
             int priority) {
@@ -126,7 +126,7 @@
         public boolean askForList;
 
         public long askEvery = 10_000_000;
-        public Reports reports = Reports.NONE;
+        public ReportSource reports = ReportSource.NONE;
         public boolean tellsStart;
         public long progressEvery;
         public long connectTimeout = 250_000;
--- a/src/main/java/barrowshore/module/Dispatcher.java
+++ b/src/main/java/barrowshore/module/Dispatcher.java
@@ -1,8 +1,8 @@
 // The decisions of one dispatcher. The whole interface of this module is one small file: DispatchApi.java.
 package barrowshore.module;
 
-import barrowshore.budget.ColdTurns;
-import barrowshore.halls.HallGate;
+import barrowshore.budget.ColdWorkerBudget;
+import barrowshore.halls.HallPolicy;
 import barrowshore.halls.HallRules;
 import barrowshore.halls.HallState;
 import java.util.Arrays;
@@ -34,24 +34,24 @@
     private final Peers peers;
     private final Quotas quotas;
     private final TokenBucket retries = new TokenBucket(RETRIES_SAVED, RETRIES_SAVED / 10);
-    private final Effort effort = new Effort();
-    private ColdTurns.Terms turns;
+    private final WorkCounters effort = new WorkCounters();
+    private ColdWorkerBudget.Terms turns;
     private final FleetView fleet;
     private int askFailures, probeNext, refreshes;
     private boolean asking;
 
     /** What it has gone over so far. */
-    public Effort effort() {
+    public WorkCounters effort() {
         return effort;
     }
 
     /** A dispatcher that decides by the settings and orders through the actions; call start first. */
     public Dispatcher(Settings settings, Actions actions) {
-        this(settings, actions, new IndexTables());
+        this(settings, actions, new IndexTableCache());
     }
 
     /** The same, with tables that other dispatchers of this thread may have worked out. */
-    public Dispatcher(Settings settings, Actions actions, IndexTables shared) {
+    public Dispatcher(Settings settings, Actions actions, IndexTableCache shared) {
         settings.validate();
         set = settings.copy();
         act = actions;
@@ -75,7 +75,7 @@
         quotas.enter();
         double aim =
                 Arrays.stream(set.classes).mapToLong(JobClass::aim).average().orElse(0);
-        turns = ColdTurns.Terms.of(set.dispatchers, set.me, set.fall, set.fallMultiple, aim)
+        turns = ColdWorkerBudget.Terms.of(set.dispatchers, set.me, set.fall, set.fallMultiple, aim)
                 .after(turns);
     }
 
@@ -122,7 +122,7 @@
         mean.enter(job, LEARN);
         retries.add(RETRY_SHARE);
         dispatch(now, job);
-        if (set.reports == Reports.PROBES && set.mayProbe && roster.ready.length > 0) {
+        if (set.reports == ReportSource.PROBES && set.mayProbe && roster.ready.length > 0) {
             // Where load is told only when asked: look at one worker a request, in turn; never at a cold one.
             probeNext = (probeNext + 1) % roster.ready.length;
             Worker w = roster.ready[probeNext];
@@ -178,7 +178,7 @@
         effort.picked(roster.ready.length);
         for (Worker w : roster.ready) {
             double away = prices[w.hall];
-            if (away == HallGate.CLOSED
+            if (away == HallPolicy.CLOSED
                     || away < 0 && !halls.takes(w)
                     || w.aside(now)
                     || job.jobClass.kind() >= 0 && w.kind != job.jobClass.kind()
@@ -202,7 +202,7 @@
             }
             double cost = running / pace + wait * (k.named ? k.worth / mean.value(job) : 1);
             cost += Math.max(0, run - TIGHT * budget); // little of the aim is left for waiting
-            cost += w.charge + crossing * HallGate.asked(away);
+            cost += w.charge + crossing * HallPolicy.asked(away);
             cost *= 1 + TIE * rng.next();
             if (cost < lowest && (w.warmth >= 1 || w.coldMay(now, k.speed, mean.surely(job), set, turns))) {
                 lowest = cost;
@@ -217,10 +217,10 @@
         JobClass type = job.jobClass;
         for (int i = 0; i < job.attempts.size(); i++) {
             Job.Attempt a = job.attempts.get(i);
-            if (a.worker == w || !a.neverRan && type.effect() == Effect.UNSAFE) {
+            if (a.worker == w || !a.neverRan && type.effect() == RepeatSafety.UNSAFE) {
                 return false;
             }
-            if (!a.neverRan && type.effect() == Effect.KEYED) {
+            if (!a.neverRan && type.effect() == RepeatSafety.KEYED) {
                 boolean group =
                         switch (type.scope()) {
                             case ALL -> true;
@@ -244,8 +244,8 @@
         ledger.answered(job);
         halls.refused(now, job);
         if (!job.mayHaveRun
-                || job.jobClass.effect() == Effect.SAFE
-                || job.jobClass.effect() == Effect.KEYED && job.jobClass.scope() == Scope.ALL) {
+                || job.jobClass.effect() == RepeatSafety.SAFE
+                || job.jobClass.effect() == RepeatSafety.KEYED && job.jobClass.scope() == DedupScope.ALL) {
             long delay = (long) Math.min(set.maxRetryAfter, mean.work * (1 + rng.next()));
             act.refuse(job.id, delay); // told also where the site's clients may not heed it
         } else {
@@ -293,7 +293,7 @@
         Worker w = a.worker;
         // Guards against taking a job pushed out by one of higher priority for a crash of the worker.
         JobClass type = a.job.jobClass;
-        boolean pushed = type.effect() == Effect.SAFE && type.priority() < mean.topPriority;
+        boolean pushed = type.effect() == RepeatSafety.SAFE && type.priority() < mean.topPriority;
         if (status == Status.ERROR) {
             w.heardAt = now;
         }
@@ -414,7 +414,7 @@
     private void refresh(long now) {
         for (Job job : fleet.refresh(now)) {
             if (set.secondCopies
-                    && job.jobClass.effect() == Effect.SAFE
+                    && job.jobClass.effect() == RepeatSafety.SAFE
                     && job.out == 1
                     && !job.answered
                     && retries.take()
--- a/src/main/java/barrowshore/module/FleetView.java
+++ b/src/main/java/barrowshore/module/FleetView.java
@@ -71,9 +71,9 @@
     private final Roster roster;
     private final HallSide halls;
     private final Peers peers;
-    private final IndexTables tables;
+    private final IndexTableCache tables;
     private final Rng rng;
-    private final Effort effort;
+    private final WorkCounters effort;
 
     private final PriorityQueue<Look> looks = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private final Map<Shape, SameShape> shapes = new HashMap<>();
@@ -86,7 +86,14 @@
     private boolean high, visitAll;
     private long refreshes, visits;
 
-    FleetView(Settings set, Records records, HallSide halls, Peers peers, IndexTables tables, Rng rng, Effort effort) {
+    FleetView(
+            Settings set,
+            Records records,
+            HallSide halls,
+            Peers peers,
+            IndexTableCache tables,
+            Rng rng,
+            WorkCounters effort) {
         this.set = set;
         this.mean = records.mean;
         this.kinds = records.kinds;
--- a/src/main/java/barrowshore/module/HallSide.java
+++ b/src/main/java/barrowshore/module/HallSide.java
@@ -1,23 +1,23 @@
 package barrowshore.module;
 
-import barrowshore.halls.HallGate;
+import barrowshore.halls.HallPolicy;
 import barrowshore.halls.HallRules;
+import barrowshore.halls.HallServer;
 import barrowshore.halls.Halls;
-import barrowshore.halls.Place;
 import barrowshore.module.DispatchApi.Actions;
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.util.List;
 
 /**
  * The module's side of the decisions about halls: puts what happens to attempts and workers into the words of
- * {@link HallGate}, and carries out what a turn of the halls wants told, probed and logged. It decides nothing.
+ * {@link HallPolicy}, and carries out what a turn of the halls wants told, probed and logged. It decides nothing.
  */
 final class HallSide {
     private static final double[] PLAIN = {0, 1};
 
-    HallGate gate;
+    HallPolicy gate;
     private final Settings set;
     private final Actions act;
     private final Traffic mean;
@@ -27,7 +27,7 @@
         this.set = set;
         this.act = act;
         this.rng = rng;
-        gate = set.halls == null ? HallGate.OFF : new Halls(set.halls, set.dispatchers, set.me, rng::next);
+        gate = set.halls == null ? HallPolicy.OFF : new Halls(set.halls, set.dispatchers, set.me, rng::next);
         this.mean = mean;
     }
 
@@ -39,7 +39,7 @@
     /** New rules: halls keep their states where there were rules before. */
     void rules(long now, HallRules rules) {
         if (rules == null) {
-            gate = HallGate.OFF;
+            gate = HallPolicy.OFF;
         } else if (!gate.rules(rules)) {
             gate = new Halls(rules, set.dispatchers, set.me, rng::next);
         }
@@ -48,15 +48,15 @@
     /** What the list says of a worker. */
     void enter(long now, Worker w) {
         w.place = gate.place(w.id);
-        w.hall = gate != HallGate.OFF ? gate.hall(w.zone) : w.zone == set.zone ? 0 : 1;
+        w.hall = gate != HallPolicy.OFF ? gate.hall(w.zone) : w.zone == set.zone ? 0 : 1;
         gate.listed(now, w.place, w.zone, w.listed, w.draining, w.startedAt);
     }
 
-    /** What a job pays in each hall, as {@link HallGate#weigh} has it; without halls: here, and elsewhere. */
+    /** What a job pays in each hall, as {@link HallPolicy#weigh} has it; without halls: here, and elsewhere. */
     double[] weigh(long now, Job job, int tier) {
-        return gate == HallGate.OFF
+        return gate == HallPolicy.OFF
                 ? PLAIN
-                : gate.weigh(now, job.slots, standing(job), job.jobClass.effect() == Effect.SAFE, tier);
+                : gate.weigh(now, job.slots, standing(job), job.jobClass.effect() == RepeatSafety.SAFE, tier);
     }
 
     boolean takes(Worker w) {
@@ -73,14 +73,14 @@
 
     /** What the end of an attempt says of its worker; pushed: it may have been put out for a more urgent one. */
     void ended(long now, Job.Attempt a, Status status, boolean pushed) {
-        Place place = a.worker.place;
+        HallServer place = a.worker.place;
         gate.ended(now, place, a.sentAt, a.job.slots, status == Status.OK);
         if (status == Status.ERROR || status == Status.FULL) {
             gate.sign(now, place);
         } else if (status == Status.CONNECT_FAILED) {
-            gate.against(now, place, Place.Against.UNREACHABLE);
+            gate.against(now, place, HallServer.Fault.UNREACHABLE);
         } else if (status == Status.RESET && !pushed) {
-            gate.against(now, place, Place.Against.RESET);
+            gate.against(now, place, HallServer.Fault.RESET);
         }
     }
 
--- a/src/main/java/barrowshore/module/IndexTables.java
+++ b/src/main/java/barrowshore/module/IndexTableCache.java
@@ -7,7 +7,7 @@
  * The index tables worked out so far, by shape; it decides nothing. A table is a pure function of its shape, so many
  * dispatchers of one thread may share this without knowing more of one another. Not thread-safe.
  */
-public final class IndexTables {
+public final class IndexTableCache {
     private record Shape(int slots, int bound, double load) {}
 
     private final Map<Shape, IndexTable> tables = new HashMap<>();
--- a/src/main/java/barrowshore/module/Peers.java
+++ b/src/main/java/barrowshore/module/Peers.java
@@ -10,18 +10,18 @@
  * What the dispatchers tell one another: the slots that each has in flight at each worker. It puts workers into the names
  * of the exchange, and keeps in each {@link Worker#told} the sum of what the others have told. It decides nothing.
  */
-final class Peers implements PeerSlots.Sums {
+final class Peers implements PeerSlots.SlotSums {
     /** Microseconds after which something is told though nothing has changed; and without a word, a peer is silent. */
     private static final long HEARTBEAT = 500_000, SILENCE = 6 * HEARTBEAT;
 
     private final SnapshotSender sender;
     private final PeerSlots told;
     private final Roster roster;
-    private final Effort effort;
+    private final WorkCounters effort;
     /** Workers whose sum has changed since it was asked for. */
     private final Set<Worker> touched = new LinkedHashSet<>();
 
-    Peers(int dispatchers, int me, Roster roster, Effort effort) {
+    Peers(int dispatchers, int me, Roster roster, WorkCounters effort) {
         this.sender = new SnapshotSender(dispatchers, HEARTBEAT);
         this.told = new PeerSlots(dispatchers, me, SILENCE, this);
         this.roster = roster;
--- a/src/main/java/barrowshore/module/Effort.java
+++ b/src/main/java/barrowshore/module/WorkCounters.java
@@ -4,7 +4,7 @@
  * Counts of the entries that one dispatcher has gone over: workers, peers' figures, shapes of workers. Unlike times they
  * are the same on every machine, so that tests can bound how upkeep grows with the fleet. It decides nothing.
  */
-public final class Effort {
+public final class WorkCounters {
     private long refreshes;
     private long refreshVisits;
     private long datagrams;
@@ -15,7 +15,7 @@
     private long pickVisits;
     private long listVisits;
 
-    Effort() {}
+    WorkCounters() {}
 
     void refreshed(long visits) {
         refreshes++;
--- a/src/main/java/barrowshore/module/Worker.java
+++ b/src/main/java/barrowshore/module/Worker.java
@@ -1,7 +1,7 @@
 // Part of the decision module; its whole interface is DispatchApi.java.
 package barrowshore.module;
 
-import barrowshore.budget.ColdTurns;
+import barrowshore.budget.ColdWorkerBudget;
 import barrowshore.module.DispatchApi.Settings;
 import java.util.ArrayList;
 
@@ -25,12 +25,12 @@
 
     double own, left, others, told, reported, usual, ownUsual, overdue;
     final ArrayList<Ledger.Left> leftRunning = new ArrayList<>(0);
-    final ColdTurns cold = new ColdTurns();
+    final ColdWorkerBudget cold = new ColdWorkerBudget();
     /** As of the last refresh: speed, warm share, what a job waits and makes wait, cost of errors. */
     double speed = 1, warmth = 1, wait, charge;
 
     IndexTable table;
-    barrowshore.halls.Place place;
+    barrowshore.halls.HallServer place;
     final Evidence seen = new Evidence();
     final WorkerView view = new WorkerView();
 
@@ -115,7 +115,7 @@
     }
 
     /** Guards against pushing a cold worker over: a bound for all dispatchers together in any window. */
-    boolean coldMay(long now, double usualSpeed, double size, Settings set, ColdTurns.Terms terms) {
+    boolean coldMay(long now, double usualSpeed, double size, Settings set, ColdWorkerBudget.Terms terms) {
         double whole = set.share * set.fallMultiple * warmth(now, set) * slots * usualSpeed * set.fall;
         return cold.may(now, terms, id.hashCode(), whole, size);
     }
--- a/src/main/java/barrowshore/net/Dialer.java
+++ b/src/main/java/barrowshore/net/ConnectionManager.java
@@ -28,12 +28,12 @@
  * which is later than the close of the channel (see {@link #afterRelease}). It must never know what is spoken on a
  * connection.
  */
-public final class Dialer extends SelectorManager {
+public final class ConnectionManager extends SelectorManager {
     /** Marks a connection that was accepted, and so counts among the clients'. */
-    public interface Accepted {}
+    public interface AcceptedConnection {}
 
     /** Makes the connection that speaks on a fresh end point. */
-    public interface Opener extends Function<EndPoint, Connection> {
+    public interface DialHandler extends Function<EndPoint, Connection> {
         /** The dial has failed; called instead of {@link #apply}. */
         void failed(Throwable cause);
     }
@@ -57,7 +57,7 @@
 
     private final AtomicReference<Runnable> whenClientsGone = new AtomicReference<>();
 
-    public Dialer(
+    public ConnectionManager(
             Executor pool,
             Scheduler scheduler,
             int outgoing,
@@ -78,7 +78,7 @@
     }
 
     /** Dials; false if that would not leave so many descriptors to others, in which case the opener hears nothing. */
-    public boolean dial(InetSocketAddress address, int leave, Opener opener) {
+    public boolean dial(InetSocketAddress address, int leave, DialHandler opener) {
         if (!budget.tryAcquire(1 + leave)) {
             return false;
         }
@@ -107,7 +107,7 @@
      * limit may run out while the selector has yet to look at a connection that has long been up. So the selector's own
      * thread decides, after it has looked once more. Its limit on connecting, which does not look, is far longer.
      */
-    private void limit(SocketChannel channel, Opener opener) {
+    private void limit(SocketChannel channel, DialHandler opener) {
         getScheduler()
                 .schedule(
                         () -> {
@@ -253,14 +253,14 @@
 
     @Override
     public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-        return attachment instanceof Opener opener ? opener.apply(endPoint) : accepted.apply(endPoint);
+        return attachment instanceof DialHandler opener ? opener.apply(endPoint) : accepted.apply(endPoint);
     }
 
     @Override
     public void connectionClosed(Connection connection, Throwable cause) {
         super.connectionClosed(connection, cause);
         SelectableChannel channel = ((SocketChannelEndPoint) connection.getEndPoint()).getChannel();
-        afterRelease(channel, connection instanceof Accepted ? this::clientGone : budget::release);
+        afterRelease(channel, connection instanceof AcceptedConnection ? this::clientGone : budget::release);
     }
 
     /**
@@ -282,7 +282,7 @@
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         super.onAcceptFailed(channel, cause, attachment);
-        if (attachment instanceof Opener opener) {
+        if (attachment instanceof DialHandler opener) {
             afterRelease(channel, budget::release);
             opener.failed(cause);
         } else {
@@ -314,7 +314,7 @@
     @Override
     protected void connectionFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         IO.close(channel);
-        if (attachment instanceof Opener opener) {
+        if (attachment instanceof DialHandler opener) {
             afterRelease(channel, budget::release);
             opener.failed(cause);
         }
--- a/src/main/java/barrowshore/net/ObjectBuffer.java
+++ b/src/main/java/barrowshore/net/JsonObjectBuffer.java
@@ -10,14 +10,14 @@
  * lines, and what lies between two is blank. It owns the bytes of the object not yet whole, up to a bound; it must never
  * hand on a part of an object, nor judge what is in one.
  */
-public final class ObjectBuffer {
+public final class JsonObjectBuffer {
     private final int bound;
     private byte[] held = new byte[256];
     private int length;
     private int depth;
     private boolean quoted, escaped;
 
-    public ObjectBuffer(int bound) {
+    public JsonObjectBuffer(int bound) {
         this.bound = bound;
     }
 
--- a/src/main/java/barrowshore/node/Node.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -1,24 +1,24 @@
 package barrowshore.node;
 
-import barrowshore.client.ClientSide;
+import barrowshore.client.ClientConnections;
 import barrowshore.config.Config;
 import barrowshore.config.ConfigException;
-import barrowshore.duty.Figures;
-import barrowshore.duty.Standing;
 import barrowshore.halls.HallRules;
 import barrowshore.halls.HallState;
 import barrowshore.module.DispatchApi;
 import barrowshore.module.Dispatcher;
 import barrowshore.net.Clock;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.Mailbox;
 import barrowshore.operator.Operator;
 import barrowshore.operator.Setup;
 import barrowshore.operator.SetupFiles;
 import barrowshore.ops.OpsDoor;
-import barrowshore.peer.PeerSide;
+import barrowshore.peer.PeerMessenger;
 import barrowshore.servers.Server;
 import barrowshore.servers.ServiceDiscovery;
+import barrowshore.status.SchedulerMetrics;
+import barrowshore.status.ServiceState;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.lang.reflect.Proxy;
@@ -53,8 +53,8 @@
  * One scheduler, put together. It owns the pool, the timers' thread, the dialer and the listening socket, and the order
  * in which they start and end. It must never take part in a request's life.
  */
-public final class Node {
-    private static final System.Logger LOG = System.getLogger(Node.class.getName());
+public final class JobScheduler {
+    private static final System.Logger LOG = System.getLogger("barrowshore.node.Node");
     /** One core: the selector's thread and a few to run messages while one of them is on the module. */
     private static final int THREADS = 4;
     /** Descriptors kept for the JVM, the listening socket, discovery and the selector. */
@@ -81,13 +81,13 @@
     private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
     private final Scheduler timers;
     private final ModuleActor module;
-    private final ClientSide clients;
+    private final ClientConnections clients;
     private final ServiceDiscovery entry;
     /** Where discovery and a watched file come together; null: there is discovery alone. */
     private final ListKeeper keeper;
 
-    private final PeerSide peers;
-    private final Dialer dialer;
+    private final PeerMessenger peers;
+    private final ConnectionManager dialer;
     /** Where clients are heard; a process that follows another opens it only when it can serve. */
     private volatile ServerSocketChannel server;
 
@@ -104,7 +104,7 @@
     /** The operators' door; null: none. */
     private final OpsDoor ops;
     /** Where we stand towards clients: set by orders from outside, read by the connections. */
-    private final AtomicReference<Standing> standing = new AtomicReference<>(Standing.SERVING);
+    private final AtomicReference<ServiceState> standing = new AtomicReference<>(ServiceState.SERVING);
     /** What is read again runs here, one file after the other. */
     private final Mailbox configuration = new Mailbox("the configuration", pool);
     /** As last taken over. */
@@ -115,7 +115,8 @@
     private HallRules rules;
 
     /** Starts a scheduler; the timers are started by the caller and stopped with the node. */
-    Node(Setup setup, Clock clock, Scheduler timers, Path twin, Function<DispatchApi.Actions, DispatchApi> newModule)
+    JobScheduler(
+            Setup setup, Clock clock, Scheduler timers, Path twin, Function<DispatchApi.Actions, DispatchApi> newModule)
             throws Exception {
         Config config = setup.config();
         this.config = config;
@@ -125,7 +126,8 @@
         int usable = config.sockets() - RESERVED - (config.ops() == null ? 0 : OpsDoor.DESCRIPTORS);
         outgoing = (int) (usable * OUTGOING);
         incoming = usable - outgoing;
-        dialer = new Dialer(pool, timers, outgoing, incoming, config.settings().connectTimeout / 1000, this::accepted);
+        dialer = new ConnectionManager(
+                pool, timers, outgoing, incoming, config.settings().connectTimeout / 1000, this::accepted);
         module = new ModuleActor(
                 clock,
                 pool,
@@ -135,7 +137,7 @@
                 uid -> new Server(uid, pool, this.dialer, timers, config.keepAlive(), outgoing / 2),
                 this::tell,
                 newModule);
-        clients = new ClientSide(config, clock, pool, timers, module, standing::get, mostClients(incoming));
+        clients = new ClientConnections(config, clock, pool, timers, module, standing::get, mostClients(incoming));
         keeper = setup.operator().servers() == null
                 ? null
                 : new ListKeeper(setup.operator().servers(), config.names(), clock, pool, timers, module::update);
@@ -151,7 +153,7 @@
                 config.grace());
         peers = config.peers() == null
                 ? null
-                : new PeerSide(config.peers(), config.ops() != null, pool, clock, module::peer);
+                : new PeerMessenger(config.peers(), config.ops() != null, pool, clock, module::peer);
         dialer.start();
         module.start();
         entry.open();
@@ -246,18 +248,18 @@
     /** What the other process of an upgrade moves here. */
     private final class Host implements Succession.Host {
         @Override
-        public Standing standing() {
+        public ServiceState standing() {
             return standing.get();
         }
 
         @Override
         public void follow(boolean away) {
-            Node.this.away(away);
+            JobScheduler.this.away(away);
         }
 
         @Override
         public void shared(boolean two) {
-            Node.this.shared(two);
+            JobScheduler.this.shared(two);
         }
 
         @Override
@@ -268,7 +270,7 @@
 
     /** The operators' order, by whatever way it came; false: we are ending. */
     private boolean away(boolean away) {
-        Standing now = standing.updateAndGet(away ? Standing::sendAway : Standing::activate);
+        ServiceState now = standing.updateAndGet(away ? ServiceState::sendAway : ServiceState::activate);
         if (!now.ending()) {
             LOG.log(Level.INFO, away ? "operators send clients away" : "operators want clients back");
             if (away) {
@@ -294,7 +296,7 @@
         }
 
         @Override
-        public Figures figures() {
+        public SchedulerMetrics figures() {
             return module.figures();
         }
 
@@ -310,7 +312,7 @@
     }
 
     /** Again and again while clients are to leave: an answer may have been on its way as they were sent. */
-    private void closeIdle(Standing since, boolean first) {
+    private void closeIdle(ServiceState since, boolean first) {
         if (standing.get().turn() == since.turn()) {
             clients.closeIdle(first);
             timers.schedule(() -> closeIdle(since, false), SETTLE, TimeUnit.MILLISECONDS);
@@ -332,7 +334,7 @@
 
     /** Serves until SIGTERM; then goes on until all is answered and the clients' connections are gone. */
     public static void serve(SetupFiles files) throws Exception {
-        CompletableFuture<Node> started = new CompletableFuture<>();
+        CompletableFuture<JobScheduler> started = new CompletableFuture<>();
         // Guards against the JVM's own way with SIGHUP, which is to end: in place before there is anything to end.
         boolean signalled = onHangUp(() -> started.thenAccept(node -> node.reload(files::read)));
         Setup setup = files.read();
@@ -342,9 +344,9 @@
         String folder = System.getenv("TMPDIR");
         // In place before clients can come: a start that is told to end has taken what came while it was not yet done.
         Runtime.getRuntime().addShutdownHook(new Thread(end(started, Runtime.getRuntime()::halt), "drain"));
-        Node node;
+        JobScheduler node;
         try {
-            node = new Node(
+            node = new JobScheduler(
                     setup,
                     Clock.system(),
                     timers,
@@ -372,10 +374,10 @@
     }
 
     /** Ends a scheduler in good order, once it has started; one that never does leaves the end to whoever began it. */
-    static Runnable end(CompletableFuture<Node> started, IntConsumer halt) {
+    static Runnable end(CompletableFuture<JobScheduler> started, IntConsumer halt) {
         return () -> {
             try {
-                Node node = started.get();
+                JobScheduler node = started.get();
                 node.drain().await();
                 halt.accept(node.open.isCompletedExceptionally() ? 2 : 0); // no orderly end, if it never opened
             } catch (InterruptedException e) {
@@ -387,10 +389,10 @@
     }
 
     /** Starts a scheduler inside another program, which stops it. */
-    public static Node start(Setup setup) throws Exception {
+    public static JobScheduler start(Setup setup) throws Exception {
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
-        return new Node(
+        return new JobScheduler(
                 setup,
                 Clock.system(),
                 timers,
@@ -418,8 +420,8 @@
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
         onHangUp(() -> {});
-        Node node =
-                new Node(setup, Clock.system(), timers, null, actions -> new Dispatcher(config.settings(), actions));
+        JobScheduler node = new JobScheduler(
+                setup, Clock.system(), timers, null, actions -> new Dispatcher(config.settings(), actions));
         try (Socket client =
                 new Socket(config.listen().getAddress(), node.address().getPort())) {
             String name = config.classes().get(0);
@@ -534,7 +536,7 @@
                 lastCall(ended);
             }
         };
-        standing.updateAndGet(Standing::end);
+        standing.updateAndGet(ServiceState::end);
         long deadline = Arrays.stream(config.settings().classes)
                 .mapToLong(c -> c.deadline() / 1000)
                 .max()
@@ -546,7 +548,7 @@
         // connections for 2 s. So the first one's clients go to the others in time, and the last one's stay.
         Consumer<Boolean> release = othersServe -> timers.schedule(
                 () -> {
-                    closeIdle(standing.updateAndGet(Standing::letGo), true);
+                    closeIdle(standing.updateAndGet(ServiceState::letGo), true);
                     clients.whenEmpty(done);
                     module.whenIdle(done);
                 },
@@ -558,7 +560,7 @@
             if (peers != null) {
                 peers.stopHearing();
             }
-            standing.updateAndGet(Standing::letGo);
+            standing.updateAndGet(ServiceState::letGo);
             release.accept(true);
         } else if (peers == null) {
             release.accept(false);
--- a/src/main/java/barrowshore/node/ListKeeper.java
+++ b/src/main/java/barrowshore/node/ListKeeper.java
@@ -2,10 +2,10 @@
 
 import barrowshore.files.FileMac;
 import barrowshore.files.WatchedFile;
-import barrowshore.list.HandList;
-import barrowshore.list.ServerBook;
-import barrowshore.list.ServerList.Names;
+import barrowshore.list.OperatorServerList;
 import barrowshore.list.ServerList.Update;
+import barrowshore.list.ServerList.ZoneKindNames;
+import barrowshore.list.ServerListMerger;
 import barrowshore.net.Clock;
 import barrowshore.net.Mailbox;
 import barrowshore.operator.Operator;
@@ -18,21 +18,21 @@
 
 /**
  * Where several sources of servers come together: discovery, and a watched file. An actor; it owns the
- * {@link ServerBook}, the watch of the file and the timer of graces. What wins, the book decides; it must never tell the
- * module half of what a source said at once.
+ * {@link ServerListMerger}, the watch of the file and the timer of graces. What wins, the book decides; it must never
+ * tell the module half of what a source said at once.
  */
 final class ListKeeper {
     private static final String DISCOVERY = "discovery", FILE = "file";
 
-    private final ServerBook book = new ServerBook();
+    private final ServerListMerger book = new ServerListMerger();
     private final Clock clock;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final Consumer<Update> listener;
     private final WatchedFile file;
     /**
-     * When a server was first named by the file: it counts as started then, unless it is said to be warm. What the first
-     * file names was there before us, as far as anybody knows.
+     * When a server was first named by the file: it counts as started then, unless it is said to be warm. What the
+     * first file names was there before us, as far as anybody knows.
      */
     private final Map<String, Long> firstNamed = new HashMap<>();
 
@@ -41,7 +41,7 @@
 
     ListKeeper(
             Operator.Servers rules,
-            Names names,
+            ZoneKindNames names,
             Clock clock,
             Executor pool,
             Scheduler timers,
@@ -77,7 +77,7 @@
         mailbox.post(() -> tell(book.say(clock.micros(), DISCOVERY, update)));
     }
 
-    private void say(String source, Update update, HandList from) {
+    private void say(String source, Update update, OperatorServerList from) {
         book.grace(source, from.grace());
         tell(book.say(clock.micros(), source, update));
     }
--- a/src/main/java/barrowshore/node/ModuleActor.java
+++ b/src/main/java/barrowshore/node/ModuleActor.java
@@ -1,7 +1,5 @@
 package barrowshore.node;
 
-import barrowshore.duty.Figures;
-import barrowshore.duty.Tally;
 import barrowshore.halls.HallRules;
 import barrowshore.list.ServerList;
 import barrowshore.module.DispatchApi;
@@ -16,6 +14,8 @@
 import barrowshore.net.Mailbox;
 import barrowshore.request.JobRequest;
 import barrowshore.servers.Server;
+import barrowshore.status.SchedulerCounters;
+import barrowshore.status.SchedulerMetrics;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,8 +36,8 @@
  * and the module one outcome for each send. It must never choose, repeat or refuse anything by itself, but for a request
  * that the module leaves unanswered when its time is up.
  */
-final class ModuleActor implements DispatchApi.Actions, JobRequest.Desk {
-    private static final System.Logger LOG = System.getLogger(ModuleActor.class.getName());
+final class ModuleActor implements DispatchApi.Actions, JobRequest.RequestHandler {
+    private static final System.Logger LOG = System.getLogger("barrowshore.node.ModuleActor");
     /** A probe that has told nothing by then tells nothing of the present any more. */
     private static final long PROBE_MILLIS = 1000;
 
@@ -63,9 +63,9 @@
     private final Set<String> served = new LinkedHashSet<>();
 
     private int mostAttempts;
-    private final Tally tally = new Tally();
+    private final SchedulerCounters tally = new SchedulerCounters();
     /** Figures as of the last change, for whoever reads them; written here alone. */
-    private volatile Figures figures = Figures.NONE;
+    private volatile SchedulerMetrics figures = SchedulerMetrics.NONE;
 
     private boolean publishing;
     private int openRequests;
@@ -251,7 +251,7 @@
     }
 
     /** The figures as of the last change; may be asked from anywhere. */
-    Figures figures() {
+    SchedulerMetrics figures() {
         return figures;
     }
 
@@ -266,7 +266,7 @@
     @Override
     public void turnedAway(int jobClass) {
         mailbox.post(() -> {
-            tally.ended(jobClass, Tally.End.DROPPED);
+            tally.ended(jobClass, SchedulerCounters.Outcome.DROPPED);
             publish();
         });
     }
@@ -506,8 +506,10 @@
             tally.ended(
                     open.request.jobClass(),
                     answer instanceof JobRequest.Served
-                            ? Tally.End.PASSED
-                            : answer instanceof JobRequest.Rejection ? Tally.End.DROPPED : Tally.End.BAD_GATEWAY);
+                            ? SchedulerCounters.Outcome.PASSED
+                            : answer instanceof JobRequest.Rejection
+                                    ? SchedulerCounters.Outcome.DROPPED
+                                    : SchedulerCounters.Outcome.BAD_GATEWAY);
             close(open);
             open.client.answer(answer);
         }
--- a/src/main/java/barrowshore/node/Succession.java
+++ b/src/main/java/barrowshore/node/Succession.java
@@ -1,7 +1,7 @@
 package barrowshore.node;
 
-import barrowshore.duty.Standing;
-import barrowshore.upgrade.Twin;
+import barrowshore.status.ServiceState;
+import barrowshore.upgrade.UpgradeLink;
 import java.lang.System.Logger.Level;
 import java.nio.file.Path;
 import java.util.concurrent.Executor;
@@ -11,13 +11,13 @@
  * may use of what the scheduler has, and what the later one is told. It owns the twin's link and nothing else; all of it
  * runs in the twin's mailbox. It must never make a process wait for the other.
  */
-final class Succession implements Twin.Listener {
-    private static final System.Logger LOG = System.getLogger(Succession.class.getName());
+final class Succession implements UpgradeLink.Listener {
+    private static final System.Logger LOG = System.getLogger("barrowshore.node.Succession");
     private static final String AWAY = "away", BACK = "back", SERVING = "serving";
 
     /** What it moves in its own process. */
     interface Host {
-        Standing standing();
+        ServiceState standing();
 
         /** The operators' order came by the other process. */
         void follow(boolean away);
@@ -30,13 +30,13 @@
     }
 
     private final Host host;
-    private final Twin twin;
+    private final UpgradeLink twin;
     private boolean beforeThere;
     private boolean afterThere;
 
     Succession(Path file, Executor pool, Host host) {
         this.host = host;
-        this.twin = new Twin(file, pool, this);
+        this.twin = new UpgradeLink(file, pool, this);
         this.beforeThere = twin.found();
     }
 
--- a/src/main/java/barrowshore/ops/OpsDoor.java
+++ b/src/main/java/barrowshore/ops/OpsDoor.java
@@ -1,9 +1,9 @@
 package barrowshore.ops;
 
-import barrowshore.duty.Figures;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HttpLink;
 import barrowshore.net.Mailbox;
+import barrowshore.status.SchedulerMetrics;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -50,7 +50,7 @@
     public interface Desk {
         boolean ready();
 
-        Figures figures();
+        SchedulerMetrics figures();
 
         /** Sends clients away; false where that cannot be. */
         boolean sendAway();
@@ -62,7 +62,7 @@
     private final Mailbox mailbox = new Mailbox("the operators' door", pool);
     private final Scheduler timers;
     private final Desk desk;
-    private final Dialer dialer;
+    private final ConnectionManager dialer;
     private final ServerSocketChannel server;
     private final Set<Call> calls = new LinkedHashSet<>();
 
@@ -71,7 +71,7 @@
         this.server = server;
         this.timers = timers;
         this.desk = desk;
-        this.dialer = new Dialer(pool, timers, 0, MOST + 8, UNREAD, Call::new);
+        this.dialer = new ConnectionManager(pool, timers, 0, MOST + 8, UNREAD, Call::new);
         dialer.start();
         dialer.listen(server);
     }
@@ -133,7 +133,8 @@
     }
 
     /** One caller's connection; it is read from at once and answered once. */
-    private final class Call extends HttpLink implements HttpParser.RequestHandler, Dialer.Accepted {
+    private final class Call extends HttpLink
+            implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
         private String method;
         private String target;
         private int size;
--- a/src/main/java/barrowshore/peer/PeerSide.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -22,8 +22,8 @@
  * one on whose sender is not in the list of peers. One datagram is its own: a single byte says that its sender is ending,
  * so that the others, told to end soon after, know that there is nobody yet for their clients to go to.
  */
-public final class PeerSide {
-    private static final System.Logger LOG = System.getLogger(PeerSide.class.getName());
+public final class PeerMessenger {
+    private static final System.Logger LOG = System.getLogger("barrowshore.peer.PeerSide");
     private static final byte[] ENDING = {0};
     /** Milliseconds in which a peer is heard of for sure; after which one that was ending is back. */
     private static final long HEARD = 2_000;
@@ -48,7 +48,7 @@
     private boolean quiet;
 
     /** Hears and speaks at the address; shared: another process of ours may be there too. */
-    public PeerSide(
+    public PeerMessenger(
             Config.Peering addresses, boolean shared, Executor pool, Clock clock, BiConsumer<Integer, byte[]> listener)
             throws IOException {
         this.addresses = addresses;
--- a/src/main/java/barrowshore/request/JobRequest.java
+++ b/src/main/java/barrowshore/request/JobRequest.java
@@ -70,7 +70,7 @@
     }
 
     /** Where a client's side hands its requests in; each opened one gets its answer once, unless the client goes first. */
-    public interface Desk {
+    public interface RequestHandler {
         void open(JobRequest request, Client client);
 
         void clientGone(JobRequest request);
--- a/src/main/java/barrowshore/rivals/Rival.java
+++ b/src/main/java/barrowshore/rivals/Rival.java
@@ -112,7 +112,7 @@
         Open job = new Open(request, set.classes[request.jobClass()], now + request.left());
         jobs.put(request.id(), job);
         dispatch(now, job);
-        if (set.mayProbe && set.reports == Reports.PROBES && rule == Rule.TWO_CHOICES && !workers.isEmpty()) {
+        if (set.mayProbe && set.reports == ReportSource.PROBES && rule == Rule.TWO_CHOICES && !workers.isEmpty()) {
             List<Known> all = new ArrayList<>(workers.values());
             Known w = all.get(probeNext++ % all.size());
             if (ready(w) && warmth(now, w) >= 1) {
@@ -204,8 +204,8 @@
                         case ZONE -> s.worker.member.zone() == w.member.zone();
                         case CELL -> s.worker.member.cell() == w.member.cell();
                     };
-            if (job.type.effect() == Effect.UNSAFE
-                    || job.type.effect() == Effect.KEYED && (!group || now - s.at >= job.type.repeatWindow())) {
+            if (job.type.effect() == RepeatSafety.UNSAFE
+                    || job.type.effect() == RepeatSafety.KEYED && (!group || now - s.at >= job.type.repeatWindow())) {
                 return false;
             }
         }
@@ -214,8 +214,8 @@
 
     private void answer(Open job) {
         jobs.remove(job.request.id());
-        boolean harmless = job.type.effect() == Effect.SAFE
-                || job.type.effect() == Effect.KEYED && job.type.scope() == Scope.ALL
+        boolean harmless = job.type.effect() == RepeatSafety.SAFE
+                || job.type.effect() == RepeatSafety.KEYED && job.type.scope() == DedupScope.ALL
                 || !job.neverRan.contains(false);
         if (harmless) {
             act.refuse(job.request.id(), Math.min(set.maxRetryAfter, (long) (1e5 * (1 + chance.getAsDouble()))));
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -4,7 +4,7 @@
 import barrowshore.module.DispatchApi.Load;
 import barrowshore.module.DispatchApi.Note;
 import barrowshore.module.DispatchApi.Status;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HttpLink;
 import barrowshore.net.LineBuffer;
 import barrowshore.net.Mailbox;
@@ -88,7 +88,7 @@
     }
 
     private final String uid;
-    private final Dialer dialer;
+    private final ConnectionManager dialer;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final long retireAfter;
@@ -101,7 +101,7 @@
     private ServerList.State state = ServerList.State.GONE;
     private long bootMicros;
 
-    public Server(String uid, Executor pool, Dialer dialer, Scheduler timers, long keepAlive, int most) {
+    public Server(String uid, Executor pool, ConnectionManager dialer, Scheduler timers, long keepAlive, int most) {
         this.uid = uid;
         this.dialer = dialer;
         this.timers = timers;
@@ -207,7 +207,7 @@
             return;
         }
         dialing++;
-        boolean started = dialer.dial(address, ENTRY, new Dialer.Opener() {
+        boolean started = dialer.dial(address, ENTRY, new ConnectionManager.DialHandler() {
             @Override
             public Connection apply(EndPoint endPoint) {
                 return new Link(endPoint, work);
--- a/src/main/java/barrowshore/servers/ServiceDiscovery.java
+++ b/src/main/java/barrowshore/servers/ServiceDiscovery.java
@@ -1,12 +1,12 @@
 package barrowshore.servers;
 
 import barrowshore.list.ServerList;
-import barrowshore.list.ServerList.Names;
 import barrowshore.list.ServerList.Update;
-import barrowshore.net.Dialer;
+import barrowshore.list.ServerList.ZoneKindNames;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HttpLink;
+import barrowshore.net.JsonObjectBuffer;
 import barrowshore.net.Mailbox;
-import barrowshore.net.ObjectBuffer;
 import barrowshore.wire.Json;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -73,9 +73,9 @@
      */
     private static final long BUSY_PATIENCE = 4000;
 
-    private final Dialer dialer;
+    private final ConnectionManager dialer;
     private final Scheduler timers;
-    private final Names names;
+    private final ZoneKindNames names;
     private final Consumer<Update> listener;
     private final Runnable silent;
     private final Mailbox mailbox;
@@ -125,9 +125,9 @@
      */
     public ServiceDiscovery(
             InetSocketAddress address,
-            Names names,
+            ZoneKindNames names,
             Executor pool,
-            Dialer dialer,
+            ConnectionManager dialer,
             Scheduler timers,
             Consumer<Update> listener,
             Runnable silent,
@@ -221,7 +221,7 @@
         pausing = false;
         int number = ++dials;
         timers.schedule(() -> mailbox.post(() -> dialFailed(number)), LONGEST_DIAL, TimeUnit.MILLISECONDS);
-        boolean started = dialer.dial(address, 0, new Dialer.Opener() {
+        boolean started = dialer.dial(address, 0, new ConnectionManager.DialHandler() {
             @Override
             public Connection apply(EndPoint endPoint) {
                 return new Watch(endPoint, of, number);
@@ -282,7 +282,7 @@
     /** The connection of one watch; the first at an address asks for the whole list before it watches. */
     private final class Watch extends HttpLink implements HttpParser.ResponseHandler {
         private final int of, number;
-        private final ObjectBuffer objects = new ObjectBuffer(LONGEST_OBJECT);
+        private final JsonObjectBuffer objects = new JsonObjectBuffer(LONGEST_OBJECT);
         private boolean listing, refused, abandoned;
         /** Counts the calls on this connection. */
         private int asked;
--- a/src/main/java/barrowshore/standin/StandInFront.java
+++ b/src/main/java/barrowshore/standin/StandInFront.java
@@ -1,6 +1,6 @@
 package barrowshore.standin;
 
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -27,11 +27,11 @@
     private record Door(ServerSocketChannel channel, Function<EndPoint, Connection> opener) {}
 
     private final Map<Integer, Door> doors = new ConcurrentHashMap<>();
-    private final Dialer dialer;
+    private final ConnectionManager dialer;
 
     /** most: connections to all of its doors together. */
     public StandInFront(Executor pool, Scheduler timers, int most) throws Exception {
-        dialer = new Dialer(pool, timers, 1, most, 1000, this::accepted);
+        dialer = new ConnectionManager(pool, timers, 1, most, 1000, this::accepted);
         dialer.start();
     }
 
--- a/src/main/java/barrowshore/standin/StandInLink.java
+++ b/src/main/java/barrowshore/standin/StandInLink.java
@@ -1,6 +1,6 @@
 package barrowshore.standin;
 
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HttpLink;
 import barrowshore.net.Mailbox;
 import java.nio.ByteBuffer;
@@ -20,7 +20,7 @@
  * A stand-in's side of one connection: reads requests one at a time, writes whole answers or chunks in order. It owns
  * what is still to be written; what the requests mean, its subclass knows.
  */
-abstract class StandInLink extends HttpLink implements HttpParser.RequestHandler, Dialer.Accepted {
+abstract class StandInLink extends HttpLink implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
     private final Deque<byte[]> unsent = new ArrayDeque<>();
     private final StringBuilder body = new StringBuilder();
     private Map<String, String> headers = new HashMap<>();
--- a/src/main/java/barrowshore/standin/StandInSite.java
+++ b/src/main/java/barrowshore/standin/StandInSite.java
@@ -2,7 +2,7 @@
 
 import barrowshore.config.Config;
 import barrowshore.model.NodeModel;
-import barrowshore.node.Node;
+import barrowshore.node.JobScheduler;
 import barrowshore.operator.Operator;
 import barrowshore.operator.Setup;
 import java.io.IOException;
@@ -41,7 +41,7 @@
     private final StandInDiscovery discovery;
     private final List<List<StandInNode>> halls = new ArrayList<>();
     private final Map<String, Long> boots = new HashMap<>();
-    private final List<Node> schedulers = new ArrayList<>();
+    private final List<JobScheduler> schedulers = new ArrayList<>();
 
     /** Starts halls of so many nodes and a scheduler in each. */
     public StandInSite(int nodes, Operator operator) throws Exception {
@@ -65,7 +65,7 @@
         }
         int[] ports = {freePort(), freePort()};
         for (int s = 0; s < HALLS.size(); s++) {
-            schedulers.add(Node.start(new Setup(Config.parse(config(s, ports)), operator)));
+            schedulers.add(JobScheduler.start(new Setup(Config.parse(config(s, ports)), operator)));
         }
     }
 
@@ -106,7 +106,7 @@
         return halls.get(hall);
     }
 
-    public List<Node> schedulers() {
+    public List<JobScheduler> schedulers() {
         return schedulers;
     }
 
@@ -117,7 +117,7 @@
 
     /** Asks both schedulers until they serve. */
     public void awaitReady() throws Exception {
-        for (Node scheduler : schedulers) {
+        for (JobScheduler scheduler : schedulers) {
             String answer = "";
             while (!answer.startsWith("HTTP/1.1 200")) {
                 try (Socket socket = new Socket(
@@ -160,7 +160,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Node scheduler : schedulers) {
+        for (JobScheduler scheduler : schedulers) {
             scheduler.stop();
         }
         discovery.stop();
--- a/src/main/java/barrowshore/duty/Tally.java
+++ b/src/main/java/barrowshore/status/SchedulerCounters.java
@@ -1,15 +1,15 @@
-package barrowshore.duty;
+package barrowshore.status;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * The counts behind {@link Figures}, each raised where the thing happens, by the one actor that owns them. Classes keep
- * their counts after they have vanished. It decides nothing and must never be shared.
+ * The counts behind {@link SchedulerMetrics}, each raised where the thing happens, by the one actor that owns them.
+ * Classes keep their counts after they have vanished. It decides nothing and must never be shared.
  */
-public final class Tally {
+public final class SchedulerCounters {
     /** How a job ended, as operators count it. */
-    public enum End {
+    public enum Outcome {
         PASSED,
         DROPPED,
         BAD_GATEWAY
@@ -25,11 +25,11 @@
     public void classes(List<String> now) {
         for (int k = names.size(); k < now.size(); k++) {
             names.add(now.get(k));
-            ends.add(new long[End.values().length]);
+            ends.add(new long[Outcome.values().length]);
         }
     }
 
-    public void ended(int jobClass, End end) {
+    public void ended(int jobClass, Outcome end) {
         ends.get(jobClass)[end.ordinal()]++;
     }
 
@@ -43,12 +43,12 @@
         loadErrors += taken ? 0 : 1;
     }
 
-    public Figures figures(boolean ready, int inProgress, int known, int skipped) {
-        List<Figures.OfClass> classes = new ArrayList<>(names.size());
+    public SchedulerMetrics figures(boolean ready, int inProgress, int known, int skipped) {
+        List<SchedulerMetrics.ClassCounts> classes = new ArrayList<>(names.size());
         for (int k = 0; k < names.size(); k++) {
             long[] of = ends.get(k);
-            classes.add(new Figures.OfClass(names.get(k), of[0], of[1], of[2]));
+            classes.add(new SchedulerMetrics.ClassCounts(names.get(k), of[0], of[1], of[2]));
         }
-        return new Figures(ready, classes, tries, inProgress, known, skipped, loads, loadErrors);
+        return new SchedulerMetrics(ready, classes, tries, inProgress, known, skipped, loads, loadErrors);
     }
 }
--- a/src/main/java/barrowshore/duty/Figures.java
+++ b/src/main/java/barrowshore/status/SchedulerMetrics.java
@@ -1,4 +1,4 @@
-package barrowshore.duty;
+package barrowshore.status;
 
 import java.util.List;
 
@@ -6,9 +6,9 @@
  * What a scheduler reports of itself, at one moment, as a whole; its names are those that the operators' tools read. A
  * value: whoever counts makes a new one, and it must never change once it is handed out.
  */
-public record Figures(
+public record SchedulerMetrics(
         boolean ready,
-        List<OfClass> classes,
+        List<ClassCounts> classes,
         long tries,
         int inProgress,
         int known,
@@ -16,9 +16,9 @@
         long loads,
         long loadErrors) {
     /** Final answers to jobs of one class since the start. */
-    public record OfClass(String name, long passed, long dropped, long badGateway) {}
+    public record ClassCounts(String name, long passed, long dropped, long badGateway) {}
 
-    public static final Figures NONE = new Figures(false, List.of(), 0, 0, 0, 0, 0, 0);
+    public static final SchedulerMetrics NONE = new SchedulerMetrics(false, List.of(), 0, 0, 0, 0, 0, 0);
 
     /** The figures as text, one a line. */
     public String lines() {
--- a/src/main/java/barrowshore/duty/Standing.java
+++ b/src/main/java/barrowshore/status/ServiceState.java
@@ -1,4 +1,4 @@
-package barrowshore.duty;
+package barrowshore.status;
 
 /**
  * Where a scheduler stands towards its clients: serving, sent away by the operators, or ending. A pure state machine: it
@@ -6,7 +6,7 @@
  * never know a clock, a connection or who reads it. {@code turn} counts the changes, so that what was set for later can
  * tell whether it is still wanted. An end is for good: nothing brings a scheduler back from it.
  */
-public record Standing(Phase phase, boolean away, boolean lettingGo, int turn) {
+public record ServiceState(Phase phase, boolean away, boolean lettingGo, int turn) {
     /** What it is there for now. */
     public enum Phase {
         SERVING,
@@ -14,26 +14,26 @@
         ENDING
     }
 
-    public static final Standing SERVING = new Standing(Phase.SERVING, false, false, 0);
+    public static final ServiceState SERVING = new ServiceState(Phase.SERVING, false, false, 0);
 
     /** The operators send clients away; said again, or while it ends, it changes nothing. */
-    public Standing sendAway() {
-        return phase == Phase.SERVING ? new Standing(Phase.AWAY, true, true, turn + 1) : this;
+    public ServiceState sendAway() {
+        return phase == Phase.SERVING ? new ServiceState(Phase.AWAY, true, true, turn + 1) : this;
     }
 
     /** The operators want it back at work. */
-    public Standing activate() {
-        return phase == Phase.AWAY ? new Standing(Phase.SERVING, false, false, turn + 1) : this;
+    public ServiceState activate() {
+        return phase == Phase.AWAY ? new ServiceState(Phase.SERVING, false, false, turn + 1) : this;
     }
 
     /** It has been told to end; clients that were sent away go on leaving, others may stay for now. */
-    public Standing end() {
-        return phase == Phase.ENDING ? this : new Standing(Phase.ENDING, away, away, turn + 1);
+    public ServiceState end() {
+        return phase == Phase.ENDING ? this : new ServiceState(Phase.ENDING, away, away, turn + 1);
     }
 
     /** While it ends: clients are to leave from now on. */
-    public Standing letGo() {
-        return phase != Phase.ENDING || lettingGo ? this : new Standing(phase, away, true, turn + 1);
+    public ServiceState letGo() {
+        return phase != Phase.ENDING || lettingGo ? this : new ServiceState(phase, away, true, turn + 1);
     }
 
     public boolean ending() {
--- a/src/main/java/barrowshore/upgrade/Twin.java
+++ b/src/main/java/barrowshore/upgrade/UpgradeLink.java
@@ -22,8 +22,8 @@
  * on them. Whoever listens there is alive: a file that a dead process left is replaced. It must never keep a scheduler from
  * starting or serving: without the link, two processes only know less of one another.
  */
-public final class Twin {
-    private static final System.Logger LOG = System.getLogger(Twin.class.getName());
+public final class UpgradeLink {
+    private static final System.Logger LOG = System.getLogger("barrowshore.upgrade.Twin");
 
     /** What is heard of the other process; called in this actor's mailbox. */
     public interface Listener {
@@ -45,7 +45,7 @@
     private SocketChannel after;
 
     /** Looks for a process before us; {@link #start} tells of it, and lets the next one find us. */
-    public Twin(Path file, Executor pool, Listener listener) {
+    public UpgradeLink(Path file, Executor pool, Listener listener) {
         this.file = file;
         this.listener = listener;
         this.mailbox = new Mailbox("the twin", pool);
--- a/src/main/java/barrowshore/wire/SettingsReader.java
+++ b/src/main/java/barrowshore/wire/SettingsReader.java
@@ -1,9 +1,9 @@
 package barrowshore.wire;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.JobClass;
-import barrowshore.module.DispatchApi.Reports;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.RepeatSafety;
+import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -206,9 +206,9 @@
         s.fall = (long) number("rules.fall", s.fall);
         s.crossZoneCharge = number("charges.crossZone", s.crossZoneCharge);
         s.reports = switch (pairs.getOrDefault("telemetry.how", "silent")) {
-            case "piggyback" -> Reports.ANSWERS;
-            case "pull" -> Reports.PROBES;
-            default -> Reports.NONE;
+            case "piggyback" -> ReportSource.ANSWERS;
+            case "pull" -> ReportSource.PROBES;
+            default -> ReportSource.NONE;
         };
         s.classes = new JobClass[(int) number("lanes.count", 0)];
         String[] kinds = list("domain.classKind"), stretch = list("domain.classStretch");
@@ -234,19 +234,19 @@
         return s;
     }
 
-    private static Effect effect(String word) {
+    private static RepeatSafety effect(String word) {
         return switch (word) {
-            case "idempotent" -> Effect.SAFE;
-            case "deduplicated" -> Effect.KEYED;
-            default -> Effect.UNSAFE; // the strictest, for what is not known
+            case "idempotent" -> RepeatSafety.SAFE;
+            case "deduplicated" -> RepeatSafety.KEYED;
+            default -> RepeatSafety.UNSAFE; // the strictest, for what is not known
         };
     }
 
-    private static Scope scope(String word) {
+    private static DedupScope scope(String word) {
         return switch (word) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            default -> Scope.CELL;
+            case "all" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            default -> DedupScope.CELL;
         };
     }
 
--- a/src/test/java/barrowshore/PackageRulesTest.java
+++ b/src/test/java/barrowshore/PackageRulesTest.java
@@ -24,7 +24,7 @@
                 "barrowshore.module",
                 "barrowshore.halls",
                 "barrowshore.model",
-                "barrowshore.duty",
+                "barrowshore.status",
                 "barrowshore.budget",
                 "barrowshore.exchange",
                 "barrowshore.rivals"
--- a/src/test/java/barrowshore/budget/ColdTurnsTest.java
+++ b/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Who has a turn; that all together stay under the whole is tried with real modules in RulesTest. */
-class ColdTurnsTest {
+class ColdWorkerBudgetTest {
     private static final long WINDOW = 3_000_000;
 
     /** One scheduler in fourteen at a time would leave a worker that is warm after eight windows to three of them. */
     @Test
     void whereTheWholeHoldsManyJobsManySchedulersHaveATurnSoon() {
         assertThat(IntStream.range(0, 14)
-                        .mapToObj(k -> ColdTurns.Terms.of(14, k, WINDOW, 3, 180_000))
+                        .mapToObj(k -> ColdWorkerBudget.Terms.of(14, k, WINDOW, 3, 180_000))
                         .filter(terms -> LongStream.range(0, 900).anyMatch(t -> terms.turn(t * 10_000, 12345)))
                         .count())
                 .isGreaterThanOrEqualTo(7);
@@ -23,24 +23,25 @@
 
     @Test
     void whereItHoldsFewOneTrackIsLeft() {
-        assertThat(ColdTurns.Terms.of(14, 0, 2_000_000, 3, 417_000).tracks()).isEqualTo(1);
-        assertThat(ColdTurns.Terms.of(1, 0, WINDOW, 3, 1).tracks()).isEqualTo(1);
-        assertThatThrownBy(() -> new ColdTurns.Terms(1, 0, 0, 1)).hasMessageContaining("window");
+        assertThat(ColdWorkerBudget.Terms.of(14, 0, 2_000_000, 3, 417_000).tracks())
+                .isEqualTo(1);
+        assertThat(ColdWorkerBudget.Terms.of(1, 0, WINDOW, 3, 1).tracks()).isEqualTo(1);
+        assertThatThrownBy(() -> new ColdWorkerBudget.Terms(1, 0, 0, 1)).hasMessageContaining("window");
     }
 
     /** What a process of the same name sent before, in the same turn, is not known to the one that follows it. */
     @Test
     void aFreshProcessSendsNothingInATurnThatBeganBeforeIt() {
-        ColdTurns.Terms old = ColdTurns.Terms.of(30, 7, WINDOW, 3, 180_000);
+        ColdWorkerBudget.Terms old = ColdWorkerBudget.Terms.of(30, 7, WINDOW, 3, 180_000);
         long[] turns = LongStream.range(0, 100_000)
                 .map(t -> t * 10_000)
                 .filter(t -> old.turn(t, 12345) && old.turn(t + 1, 12345))
                 .toArray();
         long start = turns[turns.length / 2] + 1;
-        ColdTurns.Terms fresh = old.startedAt(start);
+        ColdWorkerBudget.Terms fresh = old.startedAt(start);
         assertThat(fresh.turn(start, 12345)).isFalse();
-        assertThat(new ColdTurns().may(start, fresh, 12345, 1e9, 1)).isFalse();
-        assertThat(new ColdTurns().may(start, old, 12345, 1e9, 1)).isTrue();
+        assertThat(new ColdWorkerBudget().may(start, fresh, 12345, 1e9, 1)).isFalse();
+        assertThat(new ColdWorkerBudget().may(start, old, 12345, 1e9, 1)).isTrue();
         long first = LongStream.of(turns)
                 .filter(t -> fresh.turn(t, 12345))
                 .findFirst()
--- a/src/test/java/barrowshore/client/UnreadInvitationTest.java
+++ b/src/test/java/barrowshore/client/UnreadInvitationTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import barrowshore.config.Config;
-import barrowshore.duty.Standing;
 import barrowshore.net.Clock;
 import barrowshore.request.JobRequest;
+import barrowshore.status.ServiceState;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,7 +26,7 @@
     private static final int TAKEN = 10;
 
     /** Takes requests in and leaves them open. */
-    private static final class Desk implements JobRequest.Desk {
+    private static final class Desk implements JobRequest.RequestHandler {
         final List<JobRequest.Client> open = new ArrayList<>();
 
         @Override
@@ -53,8 +53,8 @@
                     .replace("$D", "127.0.0.1:9")
                     .replace("$S", "127.0.0.1:9"));
             Desk desk = new Desk();
-            ClientSide side =
-                    new ClientSide(config, Clock.system(), Runnable::run, timers, desk, () -> Standing.SERVING, 10);
+            ClientConnections side = new ClientConnections(
+                    config, Clock.system(), Runnable::run, timers, desk, () -> ServiceState.SERVING, 10);
             ByteArrayEndPoint client = new ByteArrayEndPoint(timers, 0, new byte[0], TAKEN);
             Connection link = side.accept(client);
             client.setConnection(link);
--- a/src/test/java/barrowshore/config/ChangedConfigTest.java
+++ b/src/test/java/barrowshore/config/ChangedConfigTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.wire.Json;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -43,7 +43,7 @@
         Config again = Config.parse(text.replace("at_most_once", "idempotent")).inPlaceOf(without);
         assertThat(again.classes()).containsExactly("menu", "order", "supper");
         assertThat(again.served()).containsExactlyInAnyOrder("menu", "order");
-        assertThat(again.settings().classes[1].effect()).isEqualTo(Effect.SAFE);
+        assertThat(again.settings().classes[1].effect()).isEqualTo(RepeatSafety.SAFE);
     }
 
     @Test
--- a/src/test/java/barrowshore/config/ConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import barrowshore.list.ServerList;
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -25,8 +25,8 @@
         Config config = Config.parse(good());
         assertThat(config.settings().seed).isEqualTo(0x8c1f30d27a5be964L);
         assertThat(config.classes()).containsExactly("menu", "order");
-        assertThat(config.settings().classes[0].effect()).isEqualTo(Effect.SAFE);
-        assertThat(config.settings().classes[1].effect()).isEqualTo(Effect.UNSAFE);
+        assertThat(config.settings().classes[0].effect()).isEqualTo(RepeatSafety.SAFE);
+        assertThat(config.settings().classes[1].effect()).isEqualTo(RepeatSafety.UNSAFE);
         assertThat(config.settings().connectTimeout).isEqualTo(250_000);
         assertThat(config.keepAlive()).isEqualTo(60_000_000);
         assertThat(config.known().rev()).isEqualTo(5);
--- a/src/test/java/barrowshore/emulate/ColdFleetTest.java
+++ b/src/test/java/barrowshore/emulate/ColdFleetTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import barrowshore.module.DispatchApi;
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Request;
-import barrowshore.module.DispatchApi.Scope;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.util.ArrayDeque;
@@ -218,7 +218,9 @@
             set.me = me;
             set.tick = STEP;
             // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
-            set.classes = new JobClass[] {new JobClass(work, 19, 2 * S, 1, 0, Effect.SAFE, Scope.ALL, 500 * MS, -1, 0)};
+            set.classes = new JobClass[] {
+                new JobClass(work, 19, 2 * S, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500 * MS, -1, 0)
+            };
             set.startCapacity = START_CAPACITY;
             set.cold = COLD;
             set.fall = WINDOW;
--- a/src/test/java/barrowshore/emulate/MatrixTest.java
+++ b/src/test/java/barrowshore/emulate/MatrixTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import barrowshore.config.ConfigException;
-import barrowshore.module.DispatchApi.Effect;
 import barrowshore.module.DispatchApi.JobClass;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.operator.Operator;
 import barrowshore.rivals.Rival;
@@ -80,7 +80,7 @@
                                                 c.deadline(),
                                                 c.worth(),
                                                 0,
-                                                Effect.SAFE,
+                                                RepeatSafety.SAFE,
                                                 c.scope(),
                                                 0,
                                                 -1,
--- a/src/test/java/barrowshore/files/ServersFileTest.java
+++ b/src/test/java/barrowshore/files/ServersFileTest.java
@@ -4,10 +4,10 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import barrowshore.config.ConfigException;
-import barrowshore.list.Guard;
-import barrowshore.list.Guard.Outcome;
-import barrowshore.list.HandList;
+import barrowshore.list.OperatorServerList;
 import barrowshore.list.ServerList;
+import barrowshore.list.ServerListChangePolicy;
+import barrowshore.list.ServerListChangePolicy.Outcome;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -20,8 +20,8 @@
 
 /** Lists of servers in files: what they say, what is wrong in them, and what they may change at once. */
 class ServersFileTest {
-    private static final ServerList.Names NAMES =
-            new ServerList.Names(List.of("hala-a", "hala-b"), List.of("plny-vykon", "usporny"));
+    private static final ServerList.ZoneKindNames NAMES =
+            new ServerList.ZoneKindNames(List.of("hala-a", "hala-b"), List.of("plny-vykon", "usporny"));
 
     private static String good() {
         try {
@@ -31,13 +31,13 @@
         }
     }
 
-    private static HandList parse(String text) {
+    private static OperatorServerList parse(String text) {
         return ServersFile.parse("f", text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Example
     void theExampleIsReadWhole() {
-        HandList file = parse(good());
+        OperatorServerList file = parse(good());
         assertThat(file.revision()).isEqualTo(1);
         assertThat(file.grace()).isEqualTo(10_000_000);
         ServerList.Update update = file.update(NAMES, s -> 42);
@@ -98,32 +98,39 @@
 
     @Example
     void whatTakesTooMuchAwayIsHeldUntilForced() {
-        HandList inUse = parse(good());
+        OperatorServerList inUse = parse(good());
         String less = good().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
-        assertThat(Guard.judge(inUse, parse(less), 0.5).outcome()).isEqualTo(Outcome.TAKEN);
-        assertThat(Guard.judge(inUse, parse(less), 0.3).outcome()).isEqualTo(Outcome.HELD);
-        assertThat(Guard.judge(inUse, parse(less.replace("revision=\"2\"", "revision=\"3\" force=\"true\"")), 0.3)
+        assertThat(ServerListChangePolicy.judge(inUse, parse(less), 0.5).outcome())
+                .isEqualTo(Outcome.TAKEN);
+        assertThat(ServerListChangePolicy.judge(inUse, parse(less), 0.3).outcome())
+                .isEqualTo(Outcome.HELD);
+        assertThat(ServerListChangePolicy.judge(
+                                inUse, parse(less.replace("revision=\"2\"", "revision=\"3\" force=\"true\"")), 0.3)
                         .outcome())
                 .isEqualTo(Outcome.TAKEN);
         String noHall = less.replaceFirst("(?m)^.*s-a2.*\\n", "");
-        assertThat(Guard.judge(inUse, parse(noHall), 1)).satisfies(v -> {
+        assertThat(ServerListChangePolicy.judge(inUse, parse(noHall), 1)).satisfies(v -> {
             assertThat(v.outcome()).isEqualTo(Outcome.HELD);
             assertThat(v.why()).contains("hall hala-a empty");
         });
         String none = good().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
-        assertThat(Guard.judge(inUse, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
-        assertThat(Guard.judge(null, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
+        assertThat(ServerListChangePolicy.judge(inUse, parse(none), 1).outcome())
+                .isEqualTo(Outcome.HELD);
+        assertThat(ServerListChangePolicy.judge(null, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
     }
 
     @Example
     void aRevisionNeverGoesBackNorSaysTwoThings() {
-        HandList two = parse(good().replace("revision=\"1\"", "revision=\"2\""));
-        assertThat(Guard.judge(two, parse(good()), 1).outcome()).isEqualTo(Outcome.REFUSED);
-        assertThat(Guard.judge(two, two, 1).outcome()).isEqualTo(Outcome.SAME);
-        HandList other =
+        OperatorServerList two = parse(good().replace("revision=\"1\"", "revision=\"2\""));
+        assertThat(ServerListChangePolicy.judge(two, parse(good()), 1).outcome())
+                .isEqualTo(Outcome.REFUSED);
+        assertThat(ServerListChangePolicy.judge(two, two, 1).outcome()).isEqualTo(Outcome.SAME);
+        OperatorServerList other =
                 parse(good().replace("revision=\"1\"", "revision=\"2\"").replace("weight=\"5\"", "weight=\"4\""));
-        assertThat(Guard.judge(two, other, 1).outcome()).isEqualTo(Outcome.REFUSED);
-        assertThat(Guard.diff(two, other)).hasSize(2).allMatch(line -> line.startsWith("~ ") && line.contains("->"));
+        assertThat(ServerListChangePolicy.judge(two, other, 1).outcome()).isEqualTo(Outcome.REFUSED);
+        assertThat(ServerListChangePolicy.diff(two, other))
+                .hasSize(2)
+                .allMatch(line -> line.startsWith("~ ") && line.contains("->"));
     }
 
     /** Any damage to a good file: it is read as some whole list, or refused by our own error; nothing else. */
--- a/src/test/java/barrowshore/halls/HallsPropertyTest.java
+++ b/src/test/java/barrowshore/halls/HallsPropertyTest.java
@@ -24,7 +24,7 @@
         final Random chance;
         final List<Halls> schedulers = new ArrayList<>();
         final List<Integer> homes = new ArrayList<>();
-        final List<List<Place>> places = new ArrayList<>();
+        final List<List<HallServer>> places = new ArrayList<>();
         final List<List<long[]>> out = new ArrayList<>();
         final Deque<Mail> mail = new ArrayDeque<>();
         final int servers;
@@ -39,10 +39,10 @@
                 HallRules rules = new HallRules(
                         NAMES, home, usual.tier(), false, spill, 0.6, S, S / 2, 3 * S, 5 * S, 20 * S, 30 * S, 0.1, 10);
                 Halls halls = new Halls(rules, count, s, chance::nextDouble);
-                List<Place> mine = new ArrayList<>();
+                List<HallServer> mine = new ArrayList<>();
                 for (int h = 0; h < NAMES.size(); h++) {
                     for (int k = 0; k < servers; k++) {
-                        Place p = halls.place("s" + h + "-" + k);
+                        HallServer p = halls.place("s" + h + "-" + k);
                         halls.listed(now, p, h, true, false, 0);
                         halls.see(now, p, 5, 1, false);
                         halls.sign(now, p);
@@ -57,9 +57,9 @@
         }
 
         /** Whether a scheduler may send a job there now. */
-        boolean takes(int s, Place p) {
+        boolean takes(int s, HallServer p) {
             double price = schedulers.get(s).weigh(now, 1, 1, true, 0)[p.hall];
-            return price >= 0 ? price != HallGate.CLOSED : schedulers.get(s).takes(p);
+            return price >= 0 ? price != HallPolicy.CLOSED : schedulers.get(s).takes(p);
         }
 
         /** One step of time: mail, evidence by who is well, turns, jobs. */
@@ -78,13 +78,13 @@
                         if (well[k / servers]) {
                             halls.sign(now, places.get(s).get(k));
                         } else {
-                            halls.against(now, places.get(s).get(k), Place.Against.UNREACHABLE);
+                            halls.against(now, places.get(s).get(k), HallServer.Fault.UNREACHABLE);
                         }
                     }
                 }
                 halls.turn(now, true);
                 for (String id : halls.probes()) {
-                    Place p = halls.place(id);
+                    HallServer p = halls.place(id);
                     halls.probed(now, p, well[p.hall]);
                 }
                 if (schedulers.size() > 1 && chance.nextInt(6) == 0) {
@@ -118,7 +118,7 @@
                 // Some need much, some little: that is what makes them lend and borrow.
                 Halls halls = w.schedulers.get(s);
                 int h = (w.homes.get(s) + 1 + w.chance.nextInt(2)) % 3;
-                Place p = w.places.get(s).get(h * 4 + w.chance.nextInt(4));
+                HallServer p = w.places.get(s).get(h * 4 + w.chance.nextInt(4));
                 if (s % 2 == 0 && w.takes(s, p)) {
                     halls.sent(w.now, p, 1, 0);
                     w.out.get(s).add(new long[] {w.places.get(s).indexOf(p), w.now});
@@ -209,7 +209,7 @@
                 Halls halls = w.schedulers.get(s);
                 int home = w.homes.get(s);
                 for (int n = 0; n < servers; n++) {
-                    Place p = w.places.get(s).get(home * servers + n);
+                    HallServer p = w.places.get(s).get(home * servers + n);
                     if (w.takes(s, p)) {
                         halls.sent(w.now, p, 1, 0);
                         halls.ended(w.now, p, w.now, 1, true);
@@ -241,7 +241,7 @@
             }
             int trying = 0, done = 0;
             for (int n = 0; n < 6; n++) {
-                Place p = w.places.get(0).get(n);
+                HallServer p = w.places.get(0).get(n);
                 if (w.takes(0, p)) {
                     halls.sent(w.now, p, 1, 0);
                     first[n] += proved[n] ? 0 : 1;
@@ -264,9 +264,9 @@
     @Property(tries = 500, seed = "20261201")
     void anyBytesAreRead(@ForAll byte[] bytes) {
         Halls halls = new Halls(HallRules.usual(NAMES, 0), 3, 0, new Random(1)::nextDouble);
-        assertThat(halls.heard(S, 1, bytes)).isEqualTo(bytes.length > 0 && bytes[0] == HallGate.MARK);
+        assertThat(halls.heard(S, 1, bytes)).isEqualTo(bytes.length > 0 && bytes[0] == HallPolicy.MARK);
         if (bytes.length > 0) {
-            bytes[0] = HallGate.MARK;
+            bytes[0] = HallPolicy.MARK;
             assertThat(halls.heard(S, 2, bytes)).isTrue();
         }
     }
--- a/src/test/java/barrowshore/halls/HallsTest.java
+++ b/src/test/java/barrowshore/halls/HallsTest.java
@@ -15,7 +15,7 @@
     /** One scheduler of hall a, and servers a0.. and b0.. that answer or do not. */
     private static final class Stage {
         final Halls halls;
-        final List<Place> a = new ArrayList<>(), b = new ArrayList<>();
+        final List<HallServer> a = new ArrayList<>(), b = new ArrayList<>();
         final List<String> news = new ArrayList<>();
         long now = 100 * S;
 
@@ -34,8 +34,8 @@
             halls.turn(now, false);
         }
 
-        Place add(String id, int zone, long startedAt) {
-            Place p = halls.place(id);
+        HallServer add(String id, int zone, long startedAt) {
+            HallServer p = halls.place(id);
             halls.listed(now, p, zone, true, false, startedAt);
             halls.see(now, p, 5, 1, false);
             halls.sign(now, p);
@@ -43,10 +43,10 @@
         }
 
         /** Turns for so long; the good ones give signs, the others have words spoken against them. */
-        void pass(long time, List<Place> good, List<Place> bad) {
+        void pass(long time, List<HallServer> good, List<HallServer> bad) {
             for (long until = now + time; now < until; now += TURN) {
                 good.forEach(p -> halls.sign(now, p));
-                bad.forEach(p -> halls.against(now, p, Place.Against.UNREACHABLE));
+                bad.forEach(p -> halls.against(now, p, HallServer.Fault.UNREACHABLE));
                 news.addAll(halls.turn(now, false));
             }
         }
@@ -55,19 +55,19 @@
             return halls.states().get(hall);
         }
 
-        List<Place> taking(List<Place> of, double slots, double worth, boolean repeatable) {
+        List<HallServer> taking(List<HallServer> of, double slots, double worth, boolean repeatable) {
             return taking(of, slots, worth, repeatable, 0);
         }
 
-        List<Place> taking(List<Place> of, double slots, double worth, boolean repeatable, int tier) {
+        List<HallServer> taking(List<HallServer> of, double slots, double worth, boolean repeatable, int tier) {
             double[] prices = halls.weigh(now, slots, worth, repeatable, tier);
             return of.stream()
-                    .filter(p -> prices[p.hall] >= 0 ? prices[p.hall] != HallGate.CLOSED : halls.takes(p))
+                    .filter(p -> prices[p.hall] >= 0 ? prices[p.hall] != HallPolicy.CLOSED : halls.takes(p))
                     .toList();
         }
 
         /** Sends a job there and has it served after so long. */
-        void serve(Place p, long took) {
+        void serve(HallServer p, long took) {
             long sentAt = now;
             halls.sent(now, p, 1, 0);
             pass(took, List.of(), List.of());
@@ -87,7 +87,7 @@
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
         assertThat(s.state(1)).isEqualTo(HallState.SERVING);
         s.pass(2 * S, s.b, List.of());
-        List<Place> open = s.taking(s.a, 1, 1, true);
+        List<HallServer> open = s.taking(s.a, 1, 1, true);
         assertThat(open).isNotEmpty(); // one trial is due
         s.halls.sent(s.now, open.get(0), 1, 0);
         assertThat(s.taking(s.a, 1, 1, true)).isEmpty(); // and only one
@@ -129,7 +129,7 @@
     void resetsAloneNeverMakeAHallDark() {
         Stage s = new Stage(4, 4, 1);
         for (int k = 0; k < 20; k++) {
-            s.a.forEach(p -> s.halls.against(s.now, p, Place.Against.RESET));
+            s.a.forEach(p -> s.halls.against(s.now, p, HallServer.Fault.RESET));
             s.pass(TURN, s.b, List.of());
         }
         assertThat(s.state(0)).isEqualTo(HallState.DOUBTED);
@@ -140,7 +140,7 @@
     @Test
     void aLoneServerIsBelievedLostOnlyAfterASecondWord() {
         Stage s = new Stage(1, 4, 1);
-        s.halls.against(s.now, s.a.get(0), Place.Against.UNREACHABLE);
+        s.halls.against(s.now, s.a.get(0), HallServer.Fault.UNREACHABLE);
         s.pass(3 * S, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
         s.pass(2 * S, s.b, s.a);
@@ -189,7 +189,7 @@
         s.pass(TURN, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
         s.pass(S, s.b, List.of());
-        Place first = s.taking(s.a, 1, 1, true).get(0);
+        HallServer first = s.taking(s.a, 1, 1, true).get(0);
         s.halls.sent(s.now, first, 1, 0);
         assertThat(s.taking(s.a, 1, 1, true)).isEmpty(); // one trial, not one for each server
         s.halls.ended(s.now, first, s.now, 1, true);
@@ -222,7 +222,7 @@
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
         s.a.subList(1, 4).forEach(p -> s.halls.ended(s.now, p, sentAt, 1, true)); // the rest comes while it returns
         s.pass(S, s.b, List.of());
-        Place first = s.taking(s.a, 1, 1, true).get(0);
+        HallServer first = s.taking(s.a, 1, 1, true).get(0);
         s.halls.sent(s.now, first, 1, 0);
         assertThat(s.taking(s.a, 1, 1, true)).isEmpty();
     }
@@ -231,10 +231,10 @@
     void aHalfWorkingHallIsHeldAtWhatItServes() {
         Stage s = new Stage(4, 4, 1);
         s.pass(S, s.b, s.a);
-        List<Place> good = s.a.subList(0, 2), bad = s.a.subList(2, 4);
+        List<HallServer> good = s.a.subList(0, 2), bad = s.a.subList(2, 4);
         s.pass(TURN, good, List.of());
         for (int k = 0; k < 200; k++) {
-            for (Place p : s.taking(s.a, 1, 1, true)) {
+            for (HallServer p : s.taking(s.a, 1, 1, true)) {
                 s.halls.sent(s.now, p, 1, 0);
                 s.halls.ended(s.now, p, s.now, 1, good.contains(p));
             }
@@ -253,7 +253,7 @@
         for (int flap = 0; flap < 3; flap++) {
             s.pass(TURN, s.a, List.of());
             for (int k = 0; k < 40 && s.state(0) == HallState.RETURNING; k++) {
-                for (Place p : s.taking(s.a, 1, 1, true)) {
+                for (HallServer p : s.taking(s.a, 1, 1, true)) {
                     s.halls.sent(s.now, p, 1, 0);
                     s.halls.ended(s.now, p, s.now, 1, true);
                 }
@@ -392,15 +392,15 @@
         Stage s = new Stage(4, 4, 1);
         s.pass(S, s.a, List.of());
         s.now += 5 * S;
-        s.a.forEach(p -> s.halls.against(s.now, p, Place.Against.SILENT));
-        s.b.forEach(p -> s.halls.against(s.now, p, Place.Against.SILENT));
+        s.a.forEach(p -> s.halls.against(s.now, p, HallServer.Fault.SILENT));
+        s.b.forEach(p -> s.halls.against(s.now, p, HallServer.Fault.SILENT));
         s.pass(TURN, List.of(), List.of());
         s.pass(2 * S, allOf(s), List.of());
         assertThat(s.news).isEmpty();
     }
 
-    private static List<Place> allOf(Stage s) {
-        List<Place> all = new ArrayList<>(s.a);
+    private static List<HallServer> allOf(Stage s) {
+        List<HallServer> all = new ArrayList<>(s.a);
         all.addAll(s.b);
         return all;
     }
@@ -410,7 +410,7 @@
         Stage s = new Stage(3, 3, 1);
         s.pass(3 * S, List.of(), allOf(s));
         assertThat(s.halls.states()).containsOnly(HallState.DARK);
-        List<Place> open = s.taking(allOf(s), 1, 1, false);
+        List<HallServer> open = s.taking(allOf(s), 1, 1, false);
         assertThat(open).hasSize(6);
         open.forEach(p -> s.halls.sent(s.now, p, 1, 0));
         assertThat(s.taking(allOf(s), 1, 1, false)).isEmpty();
@@ -424,7 +424,7 @@
         s.serve(s.taking(s.a, 1, 1, true).get(0), TURN);
         s.pass(3 * S, List.of(), allOf(s));
         assertThat(s.halls.states()).doesNotContain(HallState.SERVING, HallState.RETURNING, HallState.DOUBTED);
-        List<Place> open = s.taking(allOf(s), 1, 1, false);
+        List<HallServer> open = s.taking(allOf(s), 1, 1, false);
         open.forEach(p -> s.halls.sent(s.now, p, 1, 0));
         assertThat(s.taking(allOf(s), 1, 1, false)).isEmpty();
     }
@@ -435,7 +435,7 @@
         s.pass(S, s.b, s.a);
         s.a.forEach(p -> s.halls.listed(s.now, p, 0, false, false, 0));
         s.pass(S, s.b, List.of());
-        List<Place> fresh = new ArrayList<>();
+        List<HallServer> fresh = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
             fresh.add(s.add("new" + k, 0, s.now));
         }
--- a/src/test/java/barrowshore/list/ServerBookTest.java
+++ b/src/test/java/barrowshore/list/ServerListMergerTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 
 /** The one list worked out from several sources. */
-class ServerBookTest {
+class ServerListMergerTest {
     private static final long S = 1_000_000;
 
     private static Entry entry(String uid, State state, double weight) {
@@ -48,8 +48,8 @@
         }
     }
 
-    private static ServerBook book() {
-        ServerBook book = new ServerBook();
+    private static ServerListMerger book() {
+        ServerListMerger book = new ServerListMerger();
         book.source("discovery", 1, 0);
         book.source("file", 2, 10 * S);
         return book;
@@ -57,7 +57,7 @@
 
     @Example
     void theBetterRankWinsAndADrainWinsOverRank() {
-        ServerBook book = book();
+        ServerListMerger book = book();
         book.say(0, "file", all(1, ready("a", 7), entry("b", State.TERMINATING, 1)));
         book.say(0, "discovery", all(1, ready("a", 3), ready("b", 4)));
         assertThat(byUid(book.whole()).get("a").hint()).isEqualTo(3);
@@ -67,7 +67,7 @@
 
     @Example
     void whatAFileDropsDrainsForItsGraceAndMayComeBack() {
-        ServerBook book = book();
+        ServerListMerger book = book();
         book.say(0, "file", all(1, ready("a", 1), ready("b", 1)));
         Update dropped = book.say(S, "file", all(2, ready("a", 1)));
         assertThat(dropped.entries()).singleElement().satisfies(e -> {
@@ -87,7 +87,7 @@
 
     @Example
     void goneIsGoneAtOnceWhereTheSourceSaysSo() {
-        ServerBook book = book();
+        ServerListMerger book = book();
         book.say(0, "discovery", all(1, ready("a", 1)));
         Update gone = book.say(S, "discovery", new Update(2, false, List.of(entry("a", State.GONE, 1))));
         assertThat(gone.entries()).singleElement().satisfies(e -> assertThat(e.state())
@@ -96,7 +96,7 @@
 
     @Example
     void aSourceThatIsWithdrawnGivesUpWhatOnlyItNamed() {
-        ServerBook book = book();
+        ServerListMerger book = book();
         book.say(0, "file", all(1, ready("a", 1), ready("b", 1)));
         book.say(0, "discovery", all(1, ready("a", 1)));
         book.withdraw(S, "file");
@@ -110,7 +110,7 @@
     @Property(tries = 200, seed = "20261201")
     void anyHistoryEndsInWhatTheLastWordsAlonePlusTimeGive(@ForAll long seed) {
         Random chance = new Random(seed);
-        ServerBook book = book();
+        ServerListMerger book = book();
         Map<String, Entry> told = new LinkedHashMap<>();
         Map<String, Map<String, Entry>> said = new LinkedHashMap<>(Map.of("discovery", Map.of(), "file", Map.of()));
         long now = 0;
@@ -146,7 +146,7 @@
             assertThat(told).isEqualTo(byUid(book.whole()));
         }
         apply(told, book.tick(now + 10 * S));
-        ServerBook plain = book();
+        ServerListMerger plain = book();
         said.forEach((source, entries) -> plain.say(0, source, new Update(1, true, List.copyOf(entries.values()))));
         assertThat(told).isEqualTo(byUid(plain.whole()));
     }
--- a/src/test/java/barrowshore/module/Bench.java
+++ b/src/test/java/barrowshore/module/Bench.java
@@ -1,12 +1,12 @@
 package barrowshore.module;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Request;
-import barrowshore.module.DispatchApi.Scope;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
         dispatcher.start(now);
     }
 
-    static Settings settings(Effect effect, Scope scope) {
+    static Settings settings(RepeatSafety effect, DedupScope scope) {
         Settings set = new Settings();
         set.classes = new JobClass[] {new JobClass(100_000, 0, 2_000_000, 1, 0, effect, scope, 500_000, -1, 0)};
         set.maxAttempts = 4;
--- a/src/test/java/barrowshore/module/EmbeddingTest.java
+++ b/src/test/java/barrowshore/module/EmbeddingTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Load;
 import barrowshore.module.DispatchApi.Member;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Request;
-import barrowshore.module.DispatchApi.Scope;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.util.ArrayList;
@@ -72,7 +72,8 @@
     void aJobIsSentAndServed() {
         Settings settings = new Settings();
         settings.classes =
-                new JobClass[] {new JobClass(200_000, 0, 5_000_000, 1, 0.5, Effect.SAFE, Scope.ALL, 0, -1, 0)};
+                new JobClass[] {new JobClass(200_000, 0, 5_000_000, 1, 0.5, RepeatSafety.SAFE, DedupScope.ALL, 0, -1, 0)
+                };
         Printing actions = new Printing();
         DispatchApi dispatcher = new Dispatcher(settings, actions);
         dispatcher.start(0);
@@ -91,7 +92,7 @@
     void wrongSettingsAndCallsNameTheField() {
         Settings settings = new Settings();
         assertNames("classes", () -> new Dispatcher(settings, new Printing()));
-        settings.classes = Bench.settings(Effect.SAFE, Scope.ALL).classes;
+        settings.classes = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL).classes;
         settings.cold = 0;
         assertNames("cold", () -> new Dispatcher(settings, new Printing()));
         settings.cold = 1;
--- a/src/test/java/barrowshore/module/FleetLoadTest.java
+++ b/src/test/java/barrowshore/module/FleetLoadTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.Load;
-import barrowshore.module.DispatchApi.Reports;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.RepeatSafety;
+import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import org.junit.jupiter.api.Test;
@@ -75,11 +75,12 @@
      */
     @Test
     void aBusyDispatcherAmongManyIdleOnesDoesNotTurnJobsDown() {
-        Settings set = Bench.settings(Effect.SAFE, Scope.ALL);
+        Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
         set.dispatchers = 95;
-        set.reports = Reports.ANSWERS;
-        set.classes =
-                new JobClass[] {new JobClass(300_000, 1.5, 2_000_000, 1, 0, Effect.SAFE, Scope.ALL, 500_000, -1, 0)};
+        set.reports = ReportSource.ANSWERS;
+        set.classes = new JobClass[] {
+            new JobClass(300_000, 1.5, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0)
+        };
         Bench bench = new Bench(set).workers(64);
         int open = 6;
         for (int k = 0; k < 400; k++) {
--- a/src/test/java/barrowshore/module/LoadReaderTest.java
+++ b/src/test/java/barrowshore/module/LoadReaderTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Load;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Status;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
 
     @Test
     void whereOnlyFreeSlotsAreToldABusyWorkerIsLeftAlone() {
-        Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(2);
+        Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(2);
         for (int i = 0; i < 40; i++) {
             bench.now += 20_000;
             String w = bench.request("r" + i);
@@ -108,7 +108,7 @@
     @Test
     void aLiveRatingsSizeIsTheMostThatItWas() {
         for (boolean live : new boolean[] {true, false}) {
-            DispatchApi.Settings set = Bench.settings(Effect.SAFE, Scope.ALL);
+            DispatchApi.Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
             Roster roster = new Roster(new HallSide(set, null, new Rng(1), new Traffic(set)));
             for (double rating : new double[] {6, 2}) {
                 roster.enter(
--- a/src/test/java/barrowshore/module/PeersTest.java
+++ b/src/test/java/barrowshore/module/PeersTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,11 +18,11 @@
     /** One dispatcher's books of its peers, with a list of workers of its own. */
     private static final class Side {
         final Roster roster;
-        final Effort effort = new Effort();
+        final WorkCounters effort = new WorkCounters();
         final Peers peers;
 
         Side(int me, long startedAt, int workers) {
-            DispatchApi.Settings settings = Bench.settings(Effect.SAFE, Scope.ALL);
+            DispatchApi.Settings settings = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
             roster = new Roster(new HallSide(settings, new Bench(settings), new Rng(1), new Traffic(settings)));
             List<Member> members = new ArrayList<>();
             for (int k = 0; k < workers; k++) {
@@ -58,7 +58,7 @@
         ours.peers.expire(SECOND * 9 / 2);
         assertThat(ours.worker(0).told).isEqualTo(4);
         assertThat(ours.peers.missing(SECOND * 9 / 2)).isEqualTo(0.5);
-        assertThat(new Peers(1, 0, ours.roster, new Effort()).missing(0)).isZero();
+        assertThat(new Peers(1, 0, ours.roster, new WorkCounters()).missing(0)).isZero();
     }
 
     @Test
@@ -133,6 +133,6 @@
     /** The first byte of the halls' datagrams is their mark; no figure of ours may be taken for one. */
     @Test
     void isNotTakenForATellingOfHalls() {
-        assertThat(first.holds(SECOND, 0, 3)[0]).isNotEqualTo(barrowshore.halls.HallGate.MARK);
+        assertThat(first.holds(SECOND, 0, 3)[0]).isNotEqualTo(barrowshore.halls.HallPolicy.MARK);
     }
 }
--- a/src/test/java/barrowshore/module/PlacingTest.java
+++ b/src/test/java/barrowshore/module/PlacingTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.module.DispatchApi.Effect;
-import barrowshore.module.DispatchApi.Scope;
+import barrowshore.module.DispatchApi.DedupScope;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Settings;
 import org.junit.jupiter.api.Test;
 
@@ -12,7 +12,7 @@
     /** With a price on crossing, a crowded worker at home once hid an idle one abroad, and jobs were turned down. */
     @Test
     void aJobCrossesOnceNobodyAtHomeIsWorthWaitingFor() {
-        Settings set = Bench.settings(Effect.SAFE, Scope.ALL);
+        Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
         set.crossZoneCharge = 1;
         Bench bench = new Bench(set).workers(2);
         int sent = 0;
--- a/src/test/java/barrowshore/module/RulesTest.java
+++ b/src/test/java/barrowshore/module/RulesTest.java
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Request;
-import barrowshore.module.DispatchApi.Scope;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.util.ArrayList;
@@ -29,15 +29,15 @@
     class NoRequestIsLost {
         @Test
         void withoutWorkersItIsRefusedAtOnce() {
-            Bench bench = new Bench(Bench.settings(Effect.UNSAFE, Scope.ALL));
+            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL));
             assertNull(bench.request("r"));
             assertEquals(1, bench.count("refuse r"));
         }
 
         @ParameterizedTest
-        @EnumSource(Effect.class)
-        void aTimeOutAtTheDeadlineIsAnsweredOnceInTheSameCall(Effect effect) {
-            Bench bench = new Bench(Bench.settings(effect, Scope.ALL)).workers(4);
+        @EnumSource(RepeatSafety.class)
+        void aTimeOutAtTheDeadlineIsAnsweredOnceInTheSameCall(RepeatSafety effect) {
+            Bench bench = new Bench(Bench.settings(effect, DedupScope.ALL)).workers(4);
             bench.request("r");
             bench.until(bench.now + 2_000_000);
             bench.outcome("r", Status.TIMEOUT);
@@ -50,7 +50,7 @@
 
         @Test
         void allAttemptsUsedEndsInARefusal() {
-            Bench bench = new Bench(Bench.settings(Effect.UNSAFE, Scope.ALL)).workers(10);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL)).workers(10);
             bench.request("r");
             for (int i = 0; i < 4; i++) {
                 bench.outcome("r", Status.FULL);
@@ -61,7 +61,7 @@
 
         @Test
         void nothingFollowsTheEnd() {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(4);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(4);
             bench.request("gone");
             bench.dispatcher.clientGone(bench.now, "gone");
             bench.outcome("gone", Status.FULL);
@@ -76,7 +76,7 @@
 
         @Test
         void aDeadlineShorterThanATickIsStillAnswered() {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(2);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(2);
             bench.dispatcher.request(bench.now, new Request("r", 0, 0, 1, 0, 0));
             assertEquals(1, bench.count("refuse r") + bench.count("send r"));
         }
@@ -87,7 +87,7 @@
         @ParameterizedTest
         @CsvSource({"ERROR", "RESET", "TIMEOUT", "CANCELLED"})
         void anUnsafeJobThatMayHaveRunFailsAndIsNeverSentAgain(Status status) {
-            Bench bench = new Bench(Bench.settings(Effect.UNSAFE, Scope.ALL)).workers(8);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL)).workers(8);
             bench.request("r");
             bench.outcome("r", status);
             assertEquals(1, bench.count("send r"));
@@ -98,7 +98,7 @@
         @ParameterizedTest
         @CsvSource({"FULL", "CONNECT_FAILED"})
         void anUnsafeJobThatNeverRanIsSentElsewhere(Status status) {
-            Bench bench = new Bench(Bench.settings(Effect.UNSAFE, Scope.ALL)).workers(8);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL)).workers(8);
             String first = bench.request("r");
             bench.outcome("r", status);
             assertEquals(2, bench.count("send r"));
@@ -109,13 +109,15 @@
 
         @ParameterizedTest
         @CsvSource({"ZONE", "CELL"})
-        void aKeyedRepeatStaysInItsGroup(Scope scope) {
-            Bench bench = new Bench(Bench.settings(Effect.KEYED, scope)).workers(8);
+        void aKeyedRepeatStaysInItsGroup(DedupScope scope) {
+            Bench bench = new Bench(Bench.settings(RepeatSafety.KEYED, scope)).workers(8);
             int first = Integer.parseInt(bench.request("r").substring(1));
             bench.outcome("r", Status.ERROR);
             assertEquals(2, bench.attempts("r"));
             int second = Integer.parseInt(bench.last("r").substring(1));
-            assertEquals(scope == Scope.ZONE ? first % 2 : first / 2, scope == Scope.ZONE ? second % 2 : second / 2);
+            assertEquals(
+                    scope == DedupScope.ZONE ? first % 2 : first / 2,
+                    scope == DedupScope.ZONE ? second % 2 : second / 2);
             for (int i = 0; i < 3; i++) {
                 bench.outcome("r", Status.ERROR);
             }
@@ -127,7 +129,7 @@
         @ParameterizedTest
         @CsvSource({"500000,1", "300000,1", "200000,2"})
         void aKeyedRepeatThatMayComeOutsideItsWindowIsNotSent(long after, int attempts) {
-            Bench bench = new Bench(Bench.settings(Effect.KEYED, Scope.ALL)).workers(8);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.KEYED, DedupScope.ALL)).workers(8);
             bench.request("r");
             bench.until(bench.now + after);
             bench.outcome("r", Status.ERROR);
@@ -136,7 +138,7 @@
 
         @Test
         void aSafeJobIsRepeatedOnlyWithinTheRetryBudget() {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(200);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(200);
             int repeats = 0;
             for (int i = 0; i < 400; i++) {
                 bench.request("r" + i);
@@ -155,7 +157,7 @@
                 value = Health.class,
                 names = {"DRAINING", "GONE"})
         void nothingGoesToAWorkerThatDrainsOrIsGone(Health health) {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(3);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(3);
             bench.dispatcher.list(bench.now, ListKind.CHANGES, List.of(Bench.member("w1", health, 1, 0, 0)));
             for (int i = 0; i < 60; i++) {
                 assertNotEquals("w1", bench.request("r" + i));
@@ -164,7 +166,7 @@
 
         @Test
         void absenceFromAWholeListCountsAsGone() {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(3);
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(3);
             bench.dispatcher.list(bench.now, ListKind.WHOLE, List.of(Bench.member("w2", Health.READY, 0, 1, 0)));
             for (int i = 0; i < 4; i++) {
                 assertEquals("w2", bench.request("r" + i));
@@ -173,7 +175,7 @@
 
         @Test
         void aFailedListCallKeepsTheListAndAsksAgainWithinTheTimeAllowed() {
-            Settings set = Bench.settings(Effect.SAFE, Scope.ALL);
+            Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
             set.askForList = true;
             Bench bench = new Bench(set).workers(2);
             assertEquals(1, bench.count("watch"));
@@ -218,7 +220,7 @@
         /** A tenth of forty cores is four whole ones: a job runs there as it would anywhere. */
         @Test
         void aColdWorkerHasFewerCoresAndNotSlowerOnes() {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL));
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL));
             bench.dispatcher.list(
                     bench.now, ListKind.INITIAL, List.of(new Member("cold", Health.READY, 40, 0, 0, 0, bench.now)));
             assertEquals("cold", bench.request("r"), String.join("; ", bench.actions));
@@ -227,7 +229,7 @@
         /** With less than half a core a job would miss its aim: it is turned down, to be tried again, not sent late. */
         @Test
         void aJobThatWouldMissItsAimAtAColdWorkerIsTurnedDown() {
-            Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL));
+            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL));
             bench.dispatcher.list(
                     bench.now, ListKind.INITIAL, List.of(new Member("cold", Health.READY, 4, 0, 0, 0, bench.now)));
             assertNull(bench.request("r"));
@@ -243,9 +245,10 @@
         private List<Long> coldSends(int dispatchers, int slots, long work, long formerWindow) {
             List<Long> sent = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
-                Settings set = Bench.settings(Effect.SAFE, Scope.ALL);
+                Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
                 // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
-                set.classes[0] = new JobClass(work, 19, 2_000_000, 1, 0, Effect.SAFE, Scope.ALL, 500_000, -1, 0);
+                set.classes[0] =
+                        new JobClass(work, 19, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0);
                 set.dispatchers = dispatchers;
                 set.me = d;
                 set.seed = 77 + d;
@@ -273,7 +276,7 @@
 
     @Test
     void oddButLegalOrdersAreTolerated() {
-        Bench bench = new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(4);
+        Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(4);
         Member again = Bench.member("w0", Health.READY, 0, 0, bench.now);
         bench.dispatcher.list(bench.now, ListKind.CHANGES, List.of(again, again));
         bench.dispatcher.timer(bench.now, "unwanted");
@@ -290,10 +293,10 @@
 
     @Test
     void identicalEventsGiveIdenticalActionsAloneOrBesideOthers() {
-        List<String> alone = day(new Bench(Bench.settings(Effect.SAFE, Scope.ALL)), null);
-        Settings other = Bench.settings(Effect.SAFE, Scope.ALL);
+        List<String> alone = day(new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)), null);
+        Settings other = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
         other.seed = 5;
-        List<String> beside = day(new Bench(Bench.settings(Effect.SAFE, Scope.ALL)), new Bench(other));
+        List<String> beside = day(new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)), new Bench(other));
         assertEquals(alone, beside);
     }
 
--- a/src/test/java/barrowshore/module/TroubleTest.java
+++ b/src/test/java/barrowshore/module/TroubleTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.module.DispatchApi.Effect;
+import barrowshore.module.DispatchApi.DedupScope;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Note;
+import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Request;
-import barrowshore.module.DispatchApi.Scope;
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.DispatchApi.Status;
 import java.util.List;
@@ -18,7 +18,7 @@
 /** Workers in trouble: what counts against them, and what does not. */
 class TroubleTest {
     private static Bench bench(int workers) {
-        return new Bench(Bench.settings(Effect.SAFE, Scope.ALL)).workers(workers);
+        return new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(workers);
     }
 
     @Test
@@ -48,9 +48,9 @@
     }
 
     /** Starts are told at once, shares done every 2 s, as at sites with notes. */
-    private static Bench noting(Effect effect) {
-        Settings set = Bench.settings(effect, Scope.ALL);
-        set.classes = new JobClass[] {new JobClass(1_000_000, 0, 9_000_000, 1, 0, effect, Scope.ALL, 0, -1, 0)};
+    private static Bench noting(RepeatSafety effect) {
+        Settings set = Bench.settings(effect, DedupScope.ALL);
+        set.classes = new JobClass[] {new JobClass(1_000_000, 0, 9_000_000, 1, 0, effect, DedupScope.ALL, 0, -1, 0)};
         set.tellsStart = true;
         set.progressEvery = 2_000_000;
         set.secondCopies = true;
@@ -60,7 +60,7 @@
     /** The job fills the worker: its own slots are no wait that would excuse the silence. */
     @Test
     void aFreeWorkerThatTellsNoStartIsSetAsideUntilItGivesASign() {
-        Bench bench = noting(Effect.UNSAFE);
+        Bench bench = noting(RepeatSafety.UNSAFE);
         bench.dispatcher.request(bench.now, new Request("r", 0, 0, 4, 0, 9_000_000));
         String silent = bench.last("r");
         bench.until(bench.now + 1_000_000);
@@ -76,7 +76,7 @@
 
     @Test
     void oneThatTellsItsStartIsNot() {
-        Bench bench = noting(Effect.UNSAFE);
+        Bench bench = noting(RepeatSafety.UNSAFE);
         String worker = bench.request("r");
         bench.dispatcher.note(bench.now, "r", 0, Note.STARTED, 0);
         bench.until(bench.now + 1_000_000);
@@ -85,7 +85,7 @@
 
     @Test
     void aSecondCopyOfWhatMayRunTwiceFollowsAnAttemptWithoutASign() {
-        Bench safe = noting(Effect.SAFE), unsafe = noting(Effect.UNSAFE);
+        Bench safe = noting(RepeatSafety.SAFE), unsafe = noting(RepeatSafety.UNSAFE);
         safe.request("r");
         unsafe.request("r");
         safe.until(safe.now + 1_000_000);
--- a/src/test/java/barrowshore/net/DialerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -38,7 +38,7 @@
 
 /** What is owed as a connection comes up or its socket stops listening, on loopback, with time that only the test moves. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class DialerTest {
+class ConnectionManagerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final int THREADS = 4;
 
@@ -47,7 +47,7 @@
     /** What holds the selector waits for this. */
     private final CountDownLatch free = new CountDownLatch(1);
 
-    private Dialer dialer;
+    private ConnectionManager dialer;
 
     /** Timers that run only when the test says so, those of up to a second, in the order in which they were set. */
     private static final class GivenTimers extends AbstractLifeCycle implements Scheduler {
@@ -87,7 +87,7 @@
     }
 
     /** The same on a client's connection. */
-    private static final class StillClient extends AbstractConnection implements Dialer.Accepted {
+    private static final class StillClient extends AbstractConnection implements ConnectionManager.AcceptedConnection {
         StillClient(EndPoint endPoint) {
             super(endPoint, Runnable::run);
         }
@@ -97,7 +97,7 @@
     }
 
     /** Says what became of a dial. */
-    private static final class Asker implements Dialer.Opener {
+    private static final class Asker implements ConnectionManager.DialHandler {
         final CompletableFuture<EndPoint> up = new CompletableFuture<>();
         private final boolean breaks;
 
@@ -121,7 +121,7 @@
     }
 
     private void start(int outgoing, int clients, Function<EndPoint, Connection> accepted) throws Exception {
-        dialer = new Dialer(pool, timers, outgoing, clients, 250, accepted);
+        dialer = new ConnectionManager(pool, timers, outgoing, clients, 250, accepted);
         dialer.start();
     }
 
@@ -353,7 +353,7 @@
             CountDownLatch opening = new CountDownLatch(1), fails = new CountDownLatch(1);
             CompletableFuture<Throwable> failed = new CompletableFuture<>();
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            assertThat(dialer.dial(address, 0, new Dialer.Opener() {
+            assertThat(dialer.dial(address, 0, new ConnectionManager.DialHandler() {
                         @Override
                         public Connection apply(EndPoint endPoint) {
                             opening.countDown();
--- a/src/test/java/barrowshore/net/HeldSelector.java
+++ b/src/test/java/barrowshore/net/HeldSelector.java
@@ -8,7 +8,7 @@
     private final CountDownLatch free = new CountDownLatch(1);
 
     /** Returns once the selector is held. */
-    public HeldSelector(Dialer dialer) throws InterruptedException {
+    public HeldSelector(ConnectionManager dialer) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         dialer.getBean(ManagedSelector.class).submit(keys -> {
             held.countDown();
--- a/src/test/java/barrowshore/node/ClientGoneTest.java
+++ b/src/test/java/barrowshore/node/ClientGoneTest.java
@@ -2,19 +2,19 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.client.ClientSide;
+import barrowshore.client.ClientConnections;
 import barrowshore.config.Config;
-import barrowshore.duty.Standing;
 import barrowshore.list.ServerList;
 import barrowshore.module.DispatchApi;
 import barrowshore.module.DispatchApi.Actions;
 import barrowshore.module.DispatchApi.Status;
 import barrowshore.net.Clock;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HeldSelector;
 import barrowshore.net.HttpText;
 import barrowshore.request.JobRequest;
 import barrowshore.servers.Server;
+import barrowshore.status.ServiceState;
 import java.io.IOException;
 import java.io.InputStream;
 import java.lang.reflect.Proxy;
@@ -94,7 +94,7 @@
     private final HeldExecutor moduleTurns = new HeldExecutor();
     private final HeldExecutor clientTurns = new HeldExecutor();
     private final HeldExecutor[] serverTurns = {new HeldExecutor(), new HeldExecutor()};
-    private final Dialer[] dialers = new Dialer[2];
+    private final ConnectionManager[] dialers = new ConnectionManager[2];
     private final ServerSocket[] listening = new ServerSocket[2];
     private final BlockingQueue<EndPoint> accepted = new LinkedBlockingQueue<>();
     private final RecordingDesk desk = new RecordingDesk();
@@ -105,8 +105,8 @@
     private final List<String> toldOpen = new CopyOnWriteArrayList<>();
 
     private ServerSocketChannel entrance;
-    private Dialer clientDialer;
-    private ClientSide clientSide;
+    private ConnectionManager clientDialer;
+    private ClientConnections clientSide;
     private ModuleActor module;
 
     /** Timers that never run by themselves; those that the script sets are kept. */
@@ -186,7 +186,7 @@
     }
 
     /** Hands on to the module's actor, and counts what it has handed on. */
-    private final class RecordingDesk implements JobRequest.Desk {
+    private final class RecordingDesk implements JobRequest.RequestHandler {
         final Semaphore opened = new Semaphore(0);
         final Semaphore gone = new Semaphore(0);
 
@@ -260,7 +260,7 @@
         timers.start();
         List<ServerList.Entry> entries = new ArrayList<>();
         for (int k = 0; k < 2; k++) {
-            dialers[k] = new Dialer(pool, timers, 50, 1, 10_000, endPoint -> null);
+            dialers[k] = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
             dialers[k].start();
             listening[k] = new ServerSocket(0, 10, LOOPBACK);
             InetSocketAddress address = (InetSocketAddress) listening[k].getLocalSocketAddress();
@@ -273,8 +273,9 @@
                 clock, moduleTurns, timers, config.classes(), 5, this::server, message -> {}, this::script);
         module.start();
         module.update(new ServerList.Update(1, true, entries));
-        clientSide = new ClientSide(config, clock, clientTurns, timers, desk, () -> Standing.SERVING, CLIENTS);
-        clientDialer = new Dialer(pool, timers, 1, CLIENTS, 10_000, this::accept);
+        clientSide =
+                new ClientConnections(config, clock, clientTurns, timers, desk, () -> ServiceState.SERVING, CLIENTS);
+        clientDialer = new ConnectionManager(pool, timers, 1, CLIENTS, 10_000, this::accept);
         clientDialer.start();
         entrance = ServerSocketChannel.open();
         entrance.bind(new InetSocketAddress(LOOPBACK, 0), CLIENTS);
--- a/src/test/java/barrowshore/node/ExchangeTest.java
+++ b/src/test/java/barrowshore/node/ExchangeTest.java
@@ -69,7 +69,7 @@
     @Test
     void sigHupIsHandled() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
-        Node.onHangUp(heard::countDown);
+        JobScheduler.onHangUp(heard::countDown);
         Class<?> signal = Class.forName("sun.misc.Signal");
         signal.getMethod("raise", signal)
                 .invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
@@ -85,9 +85,9 @@
         private final Map<String, Socket> peers = new HashMap<>();
         private String config = Files.readString(FILES.resolve("config.json"));
         private String module = "real";
-        private Node node;
+        private JobScheduler node;
         /** The process that the node follows, once it does. */
-        private Node former;
+        private JobScheduler former;
 
         private final Path folder = Files.createTempDirectory("twin");
         private CountDownLatch draining;
@@ -283,7 +283,7 @@
         private void start() throws Exception {
             config = named(config);
             Config read = Config.parse(config);
-            node = new Node(
+            node = new JobScheduler(
                     new Setup(read, Operator.NONE),
                     new Clock(1_700_000_000_000L, time::nanos),
                     time,
@@ -423,7 +423,7 @@
             for (Socket peer : peers.values()) {
                 peer.close();
             }
-            for (Node each : new Node[] {node, former}) {
+            for (JobScheduler each : new JobScheduler[] {node, former}) {
                 if (each != null) {
                     each.stop();
                 }
--- a/src/test/java/barrowshore/node/LateConnectionTest.java
+++ b/src/test/java/barrowshore/node/LateConnectionTest.java
@@ -6,7 +6,7 @@
 import barrowshore.list.ServerList;
 import barrowshore.module.Dispatcher;
 import barrowshore.net.Clock;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HeldSelector;
 import barrowshore.net.HttpText;
 import barrowshore.request.JobRequest;
@@ -45,7 +45,7 @@
     private final AtomicLong nanos = new AtomicLong();
     private final Clock clock = new Clock(1_700_000_000_000L, nanos::get);
     private HeldSelector held;
-    private final Dialer[] dialers = new Dialer[2];
+    private final ConnectionManager[] dialers = new ConnectionManager[2];
     private final ServerSocket[] listening = new ServerSocket[2];
     private ModuleActor module;
 
@@ -53,7 +53,7 @@
     void start() throws Exception {
         timers.start();
         for (int k = 0; k < 2; k++) {
-            dialers[k] = new Dialer(pool, timers, 50, 1, 10_000, endPoint -> null);
+            dialers[k] = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
             dialers[k].start();
             listening[k] = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
             listening[k].setSoTimeout(1);
@@ -97,7 +97,7 @@
     }
 
     /** Connections by this dialer are up for the kernel, but not for us. */
-    private void hold(Dialer dialer) throws InterruptedException {
+    private void hold(ConnectionManager dialer) throws InterruptedException {
         held = new HeldSelector(dialer);
     }
 
--- a/src/test/java/barrowshore/node/ReadyTest.java
+++ b/src/test/java/barrowshore/node/ReadyTest.java
@@ -42,7 +42,7 @@
 
     private final ManualTime time = new ManualTime();
     private ScriptedDiscovery discovery;
-    private Node node;
+    private JobScheduler node;
 
     @BeforeEach
     void open() throws IOException {
@@ -60,7 +60,7 @@
                 .replace("$D", "127.0.0.1:" + discovery.address().getPort())
                 .replace("$S", "127.0.0.1:1")
                 .replace("\"known\":", withKnownList ? "\"known\":" : "\"unknown\":"));
-        node = new Node(
+        node = new JobScheduler(
                 new Setup(config, Operator.NONE),
                 new Clock(1_700_000_000_000L, time::nanos),
                 time,
--- a/src/test/java/barrowshore/node/ReloadOperatorTest.java
+++ b/src/test/java/barrowshore/node/ReloadOperatorTest.java
@@ -29,7 +29,7 @@
     }
 
     /** How many halls the scheduler knows when the next file is read: the ones before it are done with by then. */
-    private static int halls(Node node, Supplier<Setup> next) throws Exception {
+    private static int halls(JobScheduler node, Supplier<Setup> next) throws Exception {
         CompletableFuture<Integer> seen = new CompletableFuture<>();
         node.reload(() -> {
             seen.complete(node.halls().join().size());
@@ -41,7 +41,7 @@
     @Test
     void hallsAreSwitchedOnKeptAndSwitchedOff() throws Exception {
         Operator on = new Operator(Operator.Halls.usual());
-        Node node = Node.start(setup(Operator.NONE));
+        JobScheduler node = JobScheduler.start(setup(Operator.NONE));
         try {
             assertThat(halls(node, () -> setup(on))).isZero();
             assertThat(halls(node, () -> {
--- a/src/test/java/barrowshore/node/EndTest.java
+++ b/src/test/java/barrowshore/node/ShutdownTest.java
@@ -18,7 +18,7 @@
 
 /** What a process owes that is told to end while it still starts. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class EndTest {
+class ShutdownTest {
     @Test
     void aStartToldToEndStillAnswersWhatHasCome() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -26,11 +26,11 @@
                     .replace("$D", "127.0.0.1:" + discovery.getLocalPort())
                     .replace("$S", "127.0.0.1:9")
                     .replace("\"deadline\":5000000", "\"deadline\":300000");
-            CompletableFuture<Node> started = new CompletableFuture<>();
+            CompletableFuture<JobScheduler> started = new CompletableFuture<>();
             CompletableFuture<Integer> halted = new CompletableFuture<>();
-            Thread end = new Thread(Node.end(started, halted::complete));
+            Thread end = new Thread(JobScheduler.end(started, halted::complete));
             end.start();
-            Node node = Node.start(new Setup(Config.parse(config), Operator.NONE));
+            JobScheduler node = JobScheduler.start(new Setup(Config.parse(config), Operator.NONE));
             try (Socket client =
                     new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
                 started.complete(node);
@@ -53,9 +53,9 @@
 
     @Test
     void aStartThatFailsLeavesTheEndToWhoeverBeganIt() throws Exception {
-        CompletableFuture<Node> started = new CompletableFuture<>();
+        CompletableFuture<JobScheduler> started = new CompletableFuture<>();
         CompletableFuture<Integer> halted = new CompletableFuture<>();
-        Thread end = new Thread(Node.end(started, halted::complete));
+        Thread end = new Thread(JobScheduler.end(started, halted::complete));
         end.start();
         started.completeExceptionally(new IllegalStateException("broken on purpose"));
         end.join();
--- a/src/test/java/barrowshore/ops/OpsDoorTest.java
+++ b/src/test/java/barrowshore/ops/OpsDoorTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.duty.Figures;
+import barrowshore.status.SchedulerMetrics;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -28,8 +28,9 @@
         }
 
         @Override
-        public Figures figures() {
-            return new Figures(false, List.of(new Figures.OfClass("soup", 812, 3, 1)), 820, 14, 5, 2, 1, 4);
+        public SchedulerMetrics figures() {
+            return new SchedulerMetrics(
+                    false, List.of(new SchedulerMetrics.ClassCounts("soup", 812, 3, 1)), 820, 14, 5, 2, 1, 4);
         }
 
         @Override
--- a/src/test/java/barrowshore/peer/PeerSideTest.java
+++ b/src/test/java/barrowshore/peer/PeerMessengerTest.java
@@ -19,12 +19,12 @@
 
 /** Datagrams as they cross: ours to all, those of peers by number, nobody else's, none too long, and who is ending. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class PeerSideTest {
+class PeerMessengerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     private final AtomicLong time = new AtomicLong();
 
-    private static boolean othersServe(PeerSide side) {
+    private static boolean othersServe(PeerMessenger side) {
         CompletableFuture<Boolean> answer = new CompletableFuture<>();
         side.ending(answer::complete);
         return answer.join();
@@ -37,7 +37,7 @@
                 DatagramSocket stranger = new DatagramSocket(0, LOOPBACK);
                 DatagramSocket ours = new DatagramSocket(0, LOOPBACK)) {
             InetSocketAddress at = new InetSocketAddress(LOOPBACK, peer.getLocalPort());
-            PeerSide side = new PeerSide(
+            PeerMessenger side = new PeerMessenger(
                     new Config.Peering(
                             new InetSocketAddress(LOOPBACK, 0),
                             List.of(new InetSocketAddress(LOOPBACK, ours.getLocalPort()), at),
--- a/src/test/java/barrowshore/servers/ServerTest.java
+++ b/src/test/java/barrowshore/servers/ServerTest.java
@@ -6,7 +6,7 @@
 import barrowshore.module.DispatchApi.Load;
 import barrowshore.module.DispatchApi.Note;
 import barrowshore.module.DispatchApi.Status;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.HeldSelector;
 import barrowshore.net.HttpText;
 import barrowshore.request.JobRequest;
@@ -40,7 +40,7 @@
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     private final Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
     private HeldSelector held;
-    private Dialer dialer;
+    private ConnectionManager dialer;
     private ServerSocket listening;
     private Server server;
 
@@ -101,7 +101,7 @@
     @BeforeEach
     void start() throws Exception {
         timers.start();
-        dialer = new Dialer(pool, timers, 50, 1, 10_000, endPoint -> null);
+        dialer = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
         dialer.start();
         listening = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         // Messages run in the poster's stack: in the order in which the test does things.
--- a/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
+++ b/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
@@ -4,7 +4,7 @@
 
 import barrowshore.list.ServerList;
 import barrowshore.list.ServerList.Update;
-import barrowshore.net.Dialer;
+import barrowshore.net.ConnectionManager;
 import barrowshore.net.ManualTime;
 import barrowshore.servers.ScriptedDiscovery.Call;
 import java.util.List;
@@ -36,14 +36,14 @@
 
     private static final long ANSWER = 500, SILENCE = 3000, DIAL = 1000;
     private static final Update NO_LIST = new Update(0, true, List.of());
-    private static final ServerList.Names NAMES = new ServerList.Names(List.of("a"), List.of("m"));
+    private static final ServerList.ZoneKindNames NAMES = new ServerList.ZoneKindNames(List.of("a"), List.of("m"));
 
     private final ManualTime time = new ManualTime();
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     /** Held while the actor runs, in whichever thread. */
     private final ReentrantLock actor = new ReentrantLock();
     /** Dials may take longer than this class lets them take. */
-    private final Dialer dialer = new Dialer(pool, time, 50, 1, 60_000, endPoint -> null);
+    private final ConnectionManager dialer = new ConnectionManager(pool, time, 50, 1, 60_000, endPoint -> null);
 
     private final BlockingQueue<Update> told = new LinkedBlockingQueue<>();
     private ScriptedDiscovery here, elsewhere;
--- a/src/test/java/barrowshore/standin/WatchedServersTest.java
+++ b/src/test/java/barrowshore/standin/WatchedServersTest.java
@@ -4,7 +4,7 @@
 
 import barrowshore.config.Config;
 import barrowshore.model.NodeModel;
-import barrowshore.node.Node;
+import barrowshore.node.JobScheduler;
 import barrowshore.operator.Operator;
 import barrowshore.operator.Setup;
 import java.net.InetAddress;
@@ -43,7 +43,7 @@
     private final List<StandInNode> nodes = new ArrayList<>();
     private final AtomicInteger ids = new AtomicInteger();
     private StandInFront front;
-    private Node scheduler;
+    private JobScheduler scheduler;
 
     @BeforeEach
     void start() throws Exception {
@@ -88,7 +88,7 @@
                 .replace("$S", "127.0.0.1:7")
                 .replace("$D", "127.0.0.1:9")
                 .replace("\"sockets\":1024", "\"sockets\":512");
-        scheduler = Node.start(
+        scheduler = JobScheduler.start(
                 new Setup(Config.parse(config), new Operator(null, new Operator.Servers(file, 0.9, true, null))));
     }
 
--- a/src/test/java/barrowshore/duty/StandingTest.java
+++ b/src/test/java/barrowshore/status/ServiceStateTest.java
@@ -1,11 +1,11 @@
-package barrowshore.duty;
+package barrowshore.status;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
-class StandingTest {
-    private static final Standing SERVING = Standing.SERVING, AWAY = SERVING.sendAway(), ENDING = SERVING.end();
+class ServiceStateTest {
+    private static final ServiceState SERVING = ServiceState.SERVING, AWAY = SERVING.sendAway(), ENDING = SERVING.end();
 
     @Test
     void clientsSentAwayAreTurnedFromAtOnceAndComeBack() {
--- a/src/test/java/barrowshore/upgrade/TwinTest.java
+++ b/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class TwinTest {
+class UpgradeLinkTest {
     @TempDir
     private Path folder;
 
@@ -29,9 +29,9 @@
     }
 
     /** A process and what it has heard. */
-    private final class Process implements Twin.Listener {
+    private final class Process implements UpgradeLink.Listener {
         final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        final Twin twin = new Twin(folder.resolve("t"), pool, this);
+        final UpgradeLink twin = new UpgradeLink(folder.resolve("t"), pool, this);
 
         Process() {
             twin.start();
@@ -88,12 +88,12 @@
         assertThat(Files.exists(folder.resolve("t"))).isTrue();
         Process first = new Process();
         assertThat(first.twin.found()).isFalse();
-        assertThat(new Twin(folder.resolve("t"), pool, first).found()).isTrue();
+        assertThat(new UpgradeLink(folder.resolve("t"), pool, first).found()).isTrue();
     }
 
     @Test
     void aFolderThatCannotBeUsedKeepsNobodyFromStarting() {
-        Twin twin = new Twin(folder.resolve("none").resolve("x".repeat(200)), pool, null);
+        UpgradeLink twin = new UpgradeLink(folder.resolve("none").resolve("x".repeat(200)), pool, null);
         assertThat(twin.found()).isFalse();
         twin.start();
         twin.tell(false, "away");
