--- a/src/benchmark/java/barrowshore/module/PickBenchmark.java
+++ b/src/benchmark/java/barrowshore/module/PickBenchmark.java
@@ -77,15 +77,15 @@
         public void probe(String worker) {}
 
         @Override
-        public void tell(byte[] message) {
+        public void sendToPeers(byte[] message) {
             told.add(message);
         }
 
         @Override
-        public void timer(long delay, String token) {}
+        public void setTimer(long delay, String token) {}
 
         @Override
-        public void watch() {}
+        public void watchList() {}
 
         @Override
         public void log(String line) {}
@@ -98,12 +98,12 @@
                 new JobClass[] {new JobClass(200_000, 1, 5_000_000, 10, 0, RepeatSafety.SAFE, DedupScope.ALL, 0, -1, 0)
                 };
         set.dispatchers = DISPATCHERS;
-        set.me = me;
-        set.mayTell = true;
+        set.ownIndex = me;
+        set.mayMessagePeers = true;
         set.crossZoneCharge = 0.1;
-        set.tellsStart = true;
-        set.progressEvery = 2_000_000;
-        set.halls = halls ? HallRules.usual(List.of("a", "b", "c", "d"), 0) : null;
+        set.notesStart = true;
+        set.progressMicros = 2_000_000;
+        set.halls = halls ? HallRules.defaults(List.of("a", "b", "c", "d"), 0) : null;
         Dispatcher made = new Dispatcher(set, actions);
         List<Member> list = new ArrayList<>();
         for (int k = 0; k < servers; k++) {
@@ -125,7 +125,7 @@
         for (int k = 0; k < 1000; k++) {
             requestWithItsOutcome();
         }
-        module.timer(now, "refresh");
+        module.timerFired(now, "refresh");
     }
 
     /** What a peer tells in one of its lives, as it starts and ends tasks. */
@@ -137,7 +137,7 @@
             String id = "x" + step;
             time += 80_000;
             peer.request(time, new Request(id, 0, -1, 1, 0, 5_000_000));
-            peer.timer(time, "refresh");
+            peer.timerFired(time, "refresh");
             peer.outcome(time, id, 0, true, Status.OK, 100_000, null);
         }
         return actions.told;
@@ -146,8 +146,9 @@
     /** A datagram that was dropped costs nothing, and would be measured for one that was entered. */
     @TearDown
     public void check() {
-        if (heard > 0 && module.effort().datagrams() < heard / 2) {
-            throw new IllegalStateException(module.effort().datagrams() + " of " + heard + " datagrams were entered");
+        if (heard > 0 && module.workCounters().datagrams() < heard / 2) {
+            throw new IllegalStateException(
+                    module.workCounters().datagrams() + " of " + heard + " datagrams were entered");
         }
     }
 
@@ -163,7 +164,7 @@
     @Benchmark
     public void refresh() {
         now += 80_000;
-        module.timer(now, "refresh");
+        module.timerFired(now, "refresh");
     }
 
     @Benchmark
@@ -172,7 +173,7 @@
         // A later life in each round, or what is told again would be dropped as doubled.
         ByteBuffer.wrap(next).putInt(INCARNATION_OFFSET, (int) (1 + heard / datagrams.size()));
         heard++;
-        module.peer(now, 1, next);
+        module.peerMessage(now, 1, next);
     }
 
     @Benchmark
--- a/src/main/java/barrowshore/budget/ColdWorkerBudget.java
+++ b/src/main/java/barrowshore/budget/ColdWorkerBudget.java
@@ -47,7 +47,7 @@
         }
 
         /** These terms for the process that had the others before, if any. */
-        public Terms after(Terms before) {
+        public Terms keepStartOf(Terms before) {
             return before == null ? this : startedAt(before.startedAt);
         }
 
@@ -58,7 +58,7 @@
         }
 
         /** Whether this scheduler has a turn at that worker, not in its quiet end, begun with this process up. */
-        public boolean turn(long now, int name) {
+        public boolean hasTurn(long now, int name) {
             long period = (long) (TURN * window);
             for (int track = 0; track < tracks; track++) {
                 long phase = track * period / tracks, at = now + phase;
@@ -78,8 +78,8 @@
     private final List<Sent> sent = new ArrayList<>(0);
 
     /** Whether a job of that size may go now, where all schedulers may send so much in any window. */
-    public boolean may(long now, Terms terms, int name, double whole, double size) {
-        if (!terms.turn(now, name)) {
+    public boolean allows(long now, Terms terms, int name, double whole, double size) {
+        if (!terms.hasTurn(now, name)) {
             return false;
         }
         double used = size;
@@ -90,7 +90,7 @@
     }
 
     /** A job of that size goes now; what has left the window is forgotten. */
-    public void sent(long now, Terms terms, double size) {
+    public void recordSent(long now, Terms terms, double size) {
         sent.removeIf(s -> s.at <= now - terms.window);
         sent.add(new Sent(now, size));
     }
--- a/src/main/java/barrowshore/capacity/PlayedScheduler.java
+++ b/src/main/java/barrowshore/capacity/PlayedScheduler.java
@@ -96,15 +96,15 @@
     /** Other quotas from now on. */
     void quotas(double[] quotas) {
         Settings next = new Settings();
-        next.stand(settings);
-        next.take(settings);
+        next.copyIdentityFrom(settings);
+        next.copyReloadableFrom(settings);
         next.tenantQuota = quotas;
-        call(CallKind.SETTINGS, () -> module.settings(kernel.now(), next));
+        call(CallKind.SETTINGS, () -> module.changeSettings(kernel.now(), next));
     }
 
     void heard(int from, byte[] message) {
         datagrams.in(message);
-        call(CallKind.DATAGRAM, () -> module.peer(kernel.now(), from, message));
+        call(CallKind.DATAGRAM, () -> module.peerMessage(kernel.now(), from, message));
     }
 
     void request(Arrivals.Arrival arrival) {
@@ -120,7 +120,7 @@
     }
 
     WorkCounters effort() {
-        return module.effort();
+        return module.workCounters();
     }
 
     /** What the module holds, apart from what is round it. */
@@ -191,7 +191,7 @@
             request.outstanding--;
             request.answered |= status == Status.OK;
             boolean answer = status == Status.OK || status == Status.FULL;
-            DispatchApi.Load load = answer && settings.reports == ReportSource.ANSWERS ? worker.load() : null;
+            DispatchApi.Load load = answer && settings.reportSource == ReportSource.ANSWERS ? worker.load() : null;
             long took = kernel.now() - sentAt;
             call(
                     CallKind.OUTCOME,
@@ -291,7 +291,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void sendToPeers(byte[] message) {
         if (message.length > LONGEST_DATAGRAM) {
             throw new IllegalStateException("a datagram of " + message.length + " bytes");
         }
@@ -302,13 +302,13 @@
     }
 
     @Override
-    public void timer(long delay, String token) {
+    public void setTimer(long delay, String token) {
         ordered.add(() -> kernel.after(
-                Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timer(kernel.now(), token))));
+                Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timerFired(kernel.now(), token))));
     }
 
     @Override
-    public void watch() {}
+    public void watchList() {}
 
     @Override
     public void log(String line) {}
--- a/src/main/java/barrowshore/capacity/hollow/HollowScheduler.java
+++ b/src/main/java/barrowshore/capacity/hollow/HollowScheduler.java
@@ -127,7 +127,7 @@
         heard = new AtomicLongArray(schedulers);
         entered = new AtomicLongArray(schedulers);
         dialer = new ConnectionManager(
-                pool, timers, CONNECTIONS, 0, config.settings().connectTimeout / 1000, endPoint -> null);
+                pool, timers, CONNECTIONS, 0, config.settings().connectTimeoutMicros / 1000, endPoint -> null);
         module = new Dispatcher(config.settings(), this);
         discovery = new ServiceDiscovery(
                 config.discovery(),
@@ -195,8 +195,8 @@
 
     private void list(Update update) {
         List<DispatchApi.Member> members = new ArrayList<>();
-        update.entries().forEach(entry -> members.add(entry.member()));
-        if (update.all()) {
+        update.entries().forEach(entry -> members.add(entry.toMember()));
+        if (update.full()) {
             listed.clear();
         }
         for (DispatchApi.Member member : members) {
@@ -208,25 +208,25 @@
         }
         listedNow = listed.size();
         freshNow = (int) listed.values().stream().filter(m -> m.startedAt() > 0).count();
-        (update.all() ? wholeLists : listChanges).incrementAndGet();
-        meter.run(Part.LIST, () -> module.list(now(), update.all() ? ListKind.WHOLE : ListKind.CHANGES, members));
+        (update.full() ? wholeLists : listChanges).incrementAndGet();
+        meter.run(Part.LIST, () -> module.list(now(), update.full() ? ListKind.WHOLE : ListKind.CHANGES, members));
         ready.complete(null);
     }
 
     private void peer(int from, byte[] message) {
         heard.incrementAndGet(from);
-        long before = module.effort().datagrams();
-        meter.run(Part.PEERS, () -> module.peer(now(), from, message));
-        entered.addAndGet(from, module.effort().datagrams() - before);
+        long before = module.workCounters().datagrams();
+        meter.run(Part.PEERS, () -> module.peerMessage(now(), from, message));
+        entered.addAndGet(from, module.workCounters().datagrams() - before);
     }
 
     /** Takes over what a changed configuration may change in a running scheduler. */
     void reload(Config read) {
         mailbox.post(() -> {
             config = read.inPlaceOf(config);
-            meter.run(Part.CONFIGURATION, () -> module.settings(now(), config.settings()));
-            discovery.settings(config.grace());
-            discovery.move(config.discovery());
+            meter.run(Part.CONFIGURATION, () -> module.changeSettings(now(), config.settings()));
+            discovery.setGrace(config.grace());
+            discovery.setAddress(config.discovery());
             reloads.incrementAndGet();
         });
     }
@@ -406,18 +406,20 @@
     }
 
     @Override
-    public void tell(byte[] message) {
-        peers.tell(message);
+    public void sendToPeers(byte[] message) {
+        peers.broadcast(message);
     }
 
     @Override
-    public void timer(long delay, String token) {
+    public void setTimer(long delay, String token) {
         timers.schedule(
-                () -> call(Part.REFRESH, () -> module.timer(now(), token)), Math.max(1, delay), TimeUnit.MICROSECONDS);
+                () -> call(Part.REFRESH, () -> module.timerFired(now(), token)),
+                Math.max(1, delay),
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void watch() {
+    public void watchList() {
         // The service discovery's watch is open from the start and stays so.
     }
 
--- a/src/main/java/barrowshore/cli/Main.java
+++ b/src/main/java/barrowshore/cli/Main.java
@@ -222,16 +222,16 @@
                     }
                     new FileMac(keys).sign(file, ids);
                 }
-                case "show" -> ServerListChangePolicy.show(list).forEach(System.out::println);
+                case "show" -> ServerListChangePolicy.format(list).forEach(System.out::println);
                 case "diff" -> {
                     if (other == null) {
                         throw new ConfigException("servers diff needs two files");
                     }
                     OperatorServerList next = ServersFile.read(other);
                     ServerListChangePolicy.diff(list, next).forEach(System.out::println);
-                    ServerListChangePolicy.Decision verdict = ServerListChangePolicy.judge(list, next, mostLost);
+                    ServerListChangePolicy.Decision verdict = ServerListChangePolicy.check(list, next, mostLost);
                     System.out.println(verdict.outcome().name().toLowerCase(Locale.ROOT)
-                            + (verdict.why().isEmpty() ? "" : ": " + verdict.why()));
+                            + (verdict.reason().isEmpty() ? "" : ": " + verdict.reason()));
                 }
                 default -> throw new ConfigException("servers: " + what + " is none of check, show, diff, sign");
             }
--- a/src/main/java/barrowshore/client/ClientConnections.java
+++ b/src/main/java/barrowshore/client/ClientConnections.java
@@ -130,7 +130,7 @@
     }
 
     /** Jobs that come from now on are judged by this configuration; those whose head has come keep their class. */
-    public void terms(Config config) {
+    public void updateSettings(Config config) {
         terms = Terms.of(config);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** The process may be killed so many milliseconds from now: requests that still come are answered before. */
-    public void endsIn(long millis) {
+    public void scheduleEnd(long millis) {
         long now = clock.micros();
         mailbox.post(() -> {
             cappedFrom = now + GRACE * 1000;
@@ -164,7 +164,7 @@
     }
 
     /** So many connections are let be from now on; above it those go that nobody will miss. */
-    public void most(int now) {
+    public void setMaxConnections(int now) {
         mailbox.post(() -> {
             most = now;
             int over = links.size() - most;
@@ -294,8 +294,8 @@
         }
 
         @Override
-        protected void begin() {
-            limit(WHOLE);
+        protected void onConnected() {
+            setTimeLimit(WHOLE);
             opened(this);
         }
 
@@ -333,11 +333,11 @@
                 }
                 if (lingering) {
                     if (evicted) {
-                        shut(); // else its own limit ends it: the last answer may still be on its way
+                        closeNow(); // else its own limit ends it: the last answer may still be on its way
                     }
                 } else if (!busy && parser.isStart()) {
                     if (evicted && !known) {
-                        shut(); // it has had nothing of us that could be lost, and room is needed now
+                        closeNow(); // it has had nothing of us that could be lost, and room is needed now
                     } else {
                         linger();
                     }
@@ -355,14 +355,14 @@
             lingering = true;
             busy = true;
             stands(this, ending);
-            finish(LINGER);
+            closeGracefully(LINGER);
         }
 
         /** No room: one rejection as soon as it is known for what, or soon after. */
         private void shed() {
             mailbox.post(() -> {
                 shedding = true;
-                limit(SHED);
+                setTimeLimit(SHED);
             });
         }
 
@@ -370,7 +370,7 @@
             busy = true;
             persistent = false;
             if (head != null) {
-                desk.turnedAway(head.jobClass());
+                desk.countTurnedAway(head.jobClass());
             }
             give(new JobRequest.Rejection(SHED_DELAY));
         }
@@ -382,7 +382,7 @@
 
         /** Guards the job of a client that sends much behind its request and goes: its going has to be noticed. */
         @Override
-        protected boolean overrun() {
+        protected boolean discardsOverflow() {
             persistent = false;
             return true;
         }
@@ -393,14 +393,14 @@
             if (!busy && !isClosed() && !dribbling && !parser.isStart()) {
                 dribbling = true;
                 if (known) {
-                    limit(WHOLE); // else its time has run since the connection came up
+                    setTimeLimit(WHOLE); // else its time has run since the connection came up
                 }
             }
         }
 
         /** Nothing, or half a request, when its time is up; what has come by now is still looked at. */
         @Override
-        protected void expired() {
+        protected void onTimeLimit() {
             if (!busy) {
                 read();
             }
@@ -410,7 +410,7 @@
             if (shedding && !busy) {
                 rejectUnserved();
             } else if (answering || lingering || behindInvitation != null) {
-                shut();
+                closeNow();
             } else if (!busy && parser.isStart()) {
                 linger();
             } else if (!busy) {
@@ -506,18 +506,18 @@
             }
             busy = true;
             dribbling = false;
-            limit(0);
+            setTimeLimit(0);
             stands(this, null);
             if (head == null) {
                 // Looked at as the answer is given: once clients are sent away there is no yes any more.
-                desk.ready(listed -> mailbox.post(() -> {
-                    boolean ready = listed && standing.get().welcomes();
+                desk.askReady(listed -> mailbox.post(() -> {
+                    boolean ready = listed && standing.get().acceptsClients();
                     plain(ready ? 200 : 503, ready ? "ready" : "not ready");
                 }));
                 return true;
             }
-            request = head.with(body.toByteArray());
-            desk.open(request, this);
+            request = head.withBody(body.toByteArray());
+            desk.submit(request, this);
             return true;
         }
 
@@ -577,7 +577,7 @@
             }
             long deadline = firstByteAt + timeout - Math.min(MARGIN, timeout / 4);
             int jobClass = terms.classes().indexOf(path);
-            DispatchApi.RepeatSafety effect = terms.types()[jobClass].effect();
+            DispatchApi.RepeatSafety effect = terms.types()[jobClass].safety();
             // A keyed job's repeats could not be told without.
             String key = effect == DispatchApi.RepeatSafety.KEYED
                     ? header("Idempotency-Key")
@@ -593,8 +593,8 @@
                     hint,
                     firstByteAt >= cappedFrom ? Math.min(deadline, cap) : deadline,
                     switch (effect) {
-                        case SAFE -> JobRequest.ALWAYS;
-                        case KEYED -> terms.types()[jobClass].repeatWindow();
+                        case SAFE -> JobRequest.NO_REPEAT_LIMIT;
+                        case KEYED -> terms.types()[jobClass].repeatWindowMicros();
                         case UNSAFE -> 0;
                     },
                     method,
@@ -660,14 +660,15 @@
                         served.result());
             } else if (answer instanceof JobRequest.Rejection down) {
                 HttpFields.Mutable extra = HttpFields.build();
-                if (down.retryAfter() > 0) {
-                    extra.add(HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", down.retryAfter() / 1e6));
+                if (down.retryAfterMicros() > 0) {
+                    extra.add(
+                            HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", down.retryAfterMicros() / 1e6));
                 }
                 respond(503, extra, NOTHING);
             } else if (answer instanceof JobRequest.Failed failed) {
-                plain(failed.late() ? 504 : 502, failed.late() ? "no answer in time" : "the job failed");
+                plain(failed.timedOut() ? 504 : 502, failed.timedOut() ? "no answer in time" : "the job failed");
             } else if (answer instanceof JobRequest.IdInUse rejected) {
-                reject(409, rejected.why());
+                reject(409, rejected.reason());
             }
         }
 
@@ -695,16 +696,16 @@
             }
             if (inviting) {
                 behindInvitation = () -> respond(status, extra, content);
-                limit(UNREAD);
+                setTimeLimit(UNREAD);
                 return;
             }
-            last = !persistent || standing.get().lastAnswers();
+            last = !persistent || standing.get().closesAfterAnswer();
             if (last) {
                 extra.add(HttpHeader.CONNECTION, "close");
                 stands(this, ending);
             }
             answering = true;
-            limit(UNREAD);
+            setTimeLimit(UNREAD);
             write(
                     new MetaData.Response(status, null, HttpVersion.HTTP_1_1, extra, content.length),
                     content,
@@ -722,7 +723,7 @@
             }
             busy = false;
             parser.reset();
-            limit(known ? IDLE : WHOLE);
+            setTimeLimit(known ? IDLE : WHOLE);
             stands(this, known ? idle : waiting);
             read();
         }
--- a/src/main/java/barrowshore/config/Config.java
+++ b/src/main/java/barrowshore/config/Config.java
@@ -135,9 +135,9 @@
             throw new ConfigException("settings: lanes have had more than " + MOST_CLASSES + " names since the start");
         }
         Settings merged = new Settings();
-        merged.take(former.settings);
-        merged.stand(former.settings);
-        merged.take(settings);
+        merged.copyReloadableFrom(former.settings);
+        merged.copyIdentityFrom(former.settings);
+        merged.copyReloadableFrom(settings);
         merged.halls = settings.halls;
         merged.classes = types.toArray(JobClass[]::new);
         return new Config(
@@ -199,7 +199,7 @@
         ServerList.Update known = new ServerList.Update(0, true, List.of());
         if (root.get("known") != null) {
             try {
-                known = ServerList.read(map(root.get("known"), "known"), names);
+                known = ServerList.parse(map(root.get("known"), "known"), names);
             } catch (IllegalArgumentException e) {
                 throw new ConfigException("known: " + e.getMessage());
             }
@@ -230,7 +230,7 @@
                 reader.names("tenants"),
                 names,
                 known,
-                peers(root, settings.me),
+                peers(root, settings.ownIndex),
                 Set.copyOf(reader.names("lanes")),
                 fixed,
                 root);
--- a/src/main/java/barrowshore/emulate/Attempt.java
+++ b/src/main/java/barrowshore/emulate/Attempt.java
@@ -59,7 +59,7 @@
                         open.answered,
                         status,
                         kernel.now() - sentAt,
-                        answer && scheduler.settings().reports == ReportSource.ANSWERS ? node.reported : null);
+                        answer && scheduler.settings().reportSource == ReportSource.ANSWERS ? node.reported : null);
         open.forget();
     }
 
@@ -141,7 +141,7 @@
     @Override
     public void started() {
         open.job.started(node, cameAt, open);
-        if (scheduler.settings().tellsStart) {
+        if (scheduler.settings().notesStart) {
             note(Note.STARTED, 0);
         }
     }
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -80,34 +80,34 @@
         Settings set = new Settings();
         set.seed = draws.random.nextLong();
         set.dispatchers = world.schedulers.size();
-        set.me = number;
+        set.ownIndex = number;
         set.zone = zone;
         set.kinds = deployment.machines().size();
-        set.tick = 5 * World.MS;
+        set.tickMicros = 5 * World.MS;
         set.classes = new JobClass[classes.size()];
         for (int c = 0; c < set.classes.length; c++) {
             ClassOf k = classes.get(c);
             set.classes[c] = new JobClass(
                     k.aim(), k.stretch(), k.deadline(), k.worth(), 0, k.effect(), k.scope(), k.window(), -1, 0);
         }
-        set.worthByWork = deployment.prices().worthByWork();
+        set.worthPerWork = deployment.prices().worthByWork();
         set.maxAttempts = deployment.allowed().attempts();
-        set.secondCopies = deployment.allowed().copies();
+        set.mayHedge = deployment.allowed().copies();
         set.mayCancel = deployment.allowed().cancel();
         set.mayProbe = scenario.probes();
-        set.mayTell = deployment.allowed().peers();
-        set.maxRetryAfter = 2 * World.S;
-        set.liveRatings = deployment.told().weights() == Deployment.Weights.LIVE;
-        set.askForList = deployment.told().listAsked();
-        set.reports =
+        set.mayMessagePeers = deployment.allowed().peers();
+        set.maxRetryAfterMicros = 2 * World.S;
+        set.ratingsReflectLoad = deployment.told().weights() == Deployment.Weights.LIVE;
+        set.pollsList = deployment.told().listAsked();
+        set.reportSource =
                 scenario.probes() ? ReportSource.PROBES : deployment.told().reports();
-        set.tellsStart = deployment.told().starts();
-        set.progressEvery = deployment.told().progress();
-        set.connectTimeout = CONNECT_TIMEOUT;
+        set.notesStart = deployment.told().starts();
+        set.progressMicros = deployment.told().progress();
+        set.connectTimeoutMicros = CONNECT_TIMEOUT;
         set.startCapacity = deployment.rules().startCapacity();
-        set.cold = deployment.rules().cold();
-        set.fallMultiple = deployment.rules().fallMultiple();
-        set.fall = deployment.rules().fall();
+        set.warmUpMicros = deployment.rules().cold();
+        set.overloadMultiple = deployment.rules().fallMultiple();
+        set.overloadWindowMicros = deployment.rules().fall();
         set.crossZoneCharge = deployment.prices().crossing();
         set.halls =
                 world.operator.halls() == null ? null : world.operator.halls().rules(scenario.zoneNames(), zone);
@@ -231,7 +231,7 @@
             return;
         }
         report.notAllowed +=
-                open.attempts.size() >= settings.maxAttempts || open.outstanding > 0 && !settings.secondCopies ? 1 : 0;
+                open.attempts.size() >= settings.maxAttempts || open.outstanding > 0 && !settings.mayHedge ? 1 : 0;
         Attempt a = new Attempt(world, this, open, open.attempts.size(), node);
         a.failing = draws.random.nextDouble() < node.errors;
         open.attempts.add(a);
@@ -239,7 +239,7 @@
         out[node.zone] += open.job.slots;
         HallState stands = world.operator.halls() == null
                 ? HallState.SERVING
-                : module.halls().get(node.zone);
+                : module.hallStates().get(node.zone);
         report.chosen(kernel.now() - World.START, node.zone, stands == HallState.DARK || stands == HallState.RETURNING);
         a.go();
     }
@@ -299,8 +299,8 @@
     }
 
     @Override
-    public void tell(byte[] message) {
-        report.notAllowed += settings.mayTell ? 0 : 1;
+    public void sendToPeers(byte[] message) {
+        report.notAllowed += settings.mayMessagePeers ? 0 : 1;
         report.messages += world.schedulers.size() - 1;
         report.messageBytes += (long) message.length * (world.schedulers.size() - 1);
         report.longestMessage = Math.max(report.longestMessage, message.length);
@@ -308,7 +308,7 @@
             if (other != this && draws.random.nextDouble() >= scenario.loss()) {
                 kernel.after(draws.between(1.1, 9.8), () -> {
                     if (other.module != null) {
-                        other.module.peer(kernel.now(), number, message);
+                        other.module.peerMessage(kernel.now(), number, message);
                     }
                 });
             }
@@ -316,17 +316,17 @@
     }
 
     @Override
-    public void timer(long delay, String token) {
+    public void setTimer(long delay, String token) {
         int born = life;
         kernel.after(Math.max(1, delay), () -> {
             if (lives(born) && module != null && kernel.now() < world.end()) {
-                module.timer(kernel.now(), token);
+                module.timerFired(kernel.now(), token);
             }
         });
     }
 
     @Override
-    public void watch() {
+    public void watchList() {
         // A service that is asked may be behind: then it says so, and is to be asked again.
         int born = life;
         boolean behind = draws.random.nextDouble() < 0.2;
--- a/src/main/java/barrowshore/emulate/World.java
+++ b/src/main/java/barrowshore/emulate/World.java
@@ -138,7 +138,7 @@
                 for (int z = 0; z < zones; z++) {
                     foreign[z] += z == s.zone ? 0 : s.out[z];
                 }
-                List<HallState> states = s.module().halls();
+                List<HallState> states = s.module().hallStates();
                 if (!states.equals(s.states)) {
                     report.moved(kernel.now() - START, s.number, s.states, states, scenario.zoneNames());
                     s.states = states;
--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -54,7 +54,7 @@
     }
 
     /** Enters a datagram; false if it was dropped: malformed, of no peer, or overtaken by a later one. */
-    public boolean heard(long now, int from, byte[] message) {
+    public boolean receive(long now, int from, byte[] message) {
         SlotSnapshot snapshot = from < 0 || from >= peers.length || from == me ? null : SlotSnapshot.read(message);
         if (snapshot == null) {
             malformed++;
@@ -132,7 +132,7 @@
     }
 
     /** Takes back what silent peers have told; it counts again once they are heard of in the same life. */
-    public void expire(long now) {
+    public void expireSilentPeers(long now) {
         for (Peer peer : peers) {
             if (peer != null && peer.counted && isSilent(now, peer)) {
                 count(peer, false);
@@ -159,7 +159,7 @@
     }
 
     /** Figures held, over all peers. */
-    public int figures() {
+    public int figureCount() {
         int sum = 0;
         for (Peer peer : peers) {
             sum += peer == null ? 0 : peer.figures.size();
@@ -168,7 +168,7 @@
     }
 
     /** Datagrams dropped since they are of no form or no peer that is known here. */
-    public long malformed() {
+    public long malformedDatagrams() {
         return malformed;
     }
 
--- a/src/main/java/barrowshore/exchange/SnapshotSender.java
+++ b/src/main/java/barrowshore/exchange/SnapshotSender.java
@@ -15,7 +15,7 @@
  */
 public final class SnapshotSender {
     /** Bytes of the IP and UDP heads of one datagram. */
-    public static final int HEADS_BYTES = 28;
+    public static final int HEADER_BYTES = 28;
     /** Bytes a second that all schedulers together may cost each one, in and out, heads counted, where jobs are long. */
     static final double FLEET_BYTES_PER_SECOND = 0.85 * 4096;
     /**
@@ -37,7 +37,7 @@
 
     private static final double MICROS = 1e6;
     /** The budget that may be saved up: two full datagrams. */
-    private static final double SAVED_BYTES = 2.0 * (SlotSnapshot.MAX_BYTES + HEADS_BYTES);
+    private static final double SAVED_BYTES = 2.0 * (SlotSnapshot.MAX_BYTES + HEADER_BYTES);
 
     private final double bytesPerSecond;
     private final long heartbeat;
@@ -63,7 +63,7 @@
     public SnapshotSender(int schedulers, long heartbeat) {
         this.bytesPerSecond = Math.max(LEAST_BYTES_PER_SECOND, FLEET_BYTES_PER_SECOND / schedulers);
         this.heartbeat = heartbeat;
-        int affordable = (int) (bytesPerSecond * PART_SECONDS) - HEADS_BYTES;
+        int affordable = (int) (bytesPerSecond * PART_SECONDS) - HEADER_BYTES;
         this.partBytes = Math.min(SlotSnapshot.MAX_BYTES, Math.max(LEAST_PART_BYTES, affordable));
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** So many slots more, or fewer, are held at the workers of that full name. */
-    public void add(int name, int difference) {
+    public void addSlots(int name, int difference) {
         if (difference != 0) {
             slots.merge(name, difference, (held, more) -> held + more == 0 ? null : held + more);
             untold.add(name);
@@ -82,7 +82,7 @@
     }
 
     /** Names at which slots are held. */
-    public int names() {
+    public int nameCount() {
         return slots.size();
     }
 
@@ -92,7 +92,7 @@
      * @param workers how many there are
      * @param jobMicros how long a job usually runs
      */
-    public byte[] due(long now, int workers, double jobMicros) {
+    public byte[] nextDatagram(long now, int workers, double jobMicros) {
         double rate = bytesPerSecond * Math.min(MOST_MULTIPLE, Math.max(1, LONG_JOB_MICROS / jobMicros));
         budget = Math.min(SAVED_BYTES, budget + rate * (now - creditedAt) / MICROS);
         creditedAt = now;
@@ -105,12 +105,12 @@
         SlotSnapshot.Writer writer = new SlotSnapshot.Writer(width, from, partBytes);
         int to = fill(writer, from, width);
         byte[] message = writer.finish(incarnation, sequence + 1, to);
-        double missing = message.length + HEADS_BYTES - budget;
+        double missing = message.length + HEADER_BYTES - budget;
         if (missing > 0) {
             waitUntil = now + (long) (missing / rate * MICROS);
             return null;
         }
-        budget -= message.length + HEADS_BYTES;
+        budget -= message.length + HEADER_BYTES;
         sequence++;
         sentAt = now;
         untold.subSet(from, to).clear();
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -167,12 +167,12 @@
                 judged = bytes;
             }
             OperatorServerList next = ServersFile.parse(file.toString(), bytes);
-            ServerListChangePolicy.Decision verdict = ServerListChangePolicy.judge(inUse, next, mostLost);
+            ServerListChangePolicy.Decision verdict = ServerListChangePolicy.check(inUse, next, mostLost);
             switch (verdict.outcome()) {
                 case TAKEN -> take(next);
                 case SAME -> inUse = next;
                 case HELD, REFUSED -> say(
-                        Level.WARNING, "revision " + next.revision() + " is not taken: " + verdict.why() + kept());
+                        Level.WARNING, "revision " + next.revision() + " is not taken: " + verdict.reason() + kept());
                 default -> throw new IllegalStateException("no such outcome: " + verdict.outcome());
             }
         } catch (ConfigException e) {
--- a/src/main/java/barrowshore/halls/Hall.java
+++ b/src/main/java/barrowshore/halls/Hall.java
@@ -185,7 +185,7 @@
         if (listed == 0) {
             return goDark(now, drained() ? Why.PLANNED : Why.UNLISTED);
         }
-        if (now - since > rules.flapWindow()) {
+        if (now - since > rules.flapWindowMicros()) {
             flaps = 0;
         }
         boolean told = peers.lost() > 0 && 2 * peers.lost() >= peers.heard() && peers.served() == 0;
@@ -215,7 +215,7 @@
             return move(now, HallState.SERVING);
         }
         boolean sure = enough() && firm && share >= SURE;
-        boolean forLong = firm && now - since >= rules.darkAfter() && share >= rules.doubtShare();
+        boolean forLong = firm && now - since >= rules.darkAfterMicros() && share >= rules.doubtShare();
         return sure || forLong ? goDark(now, peers.served() > 0 ? Why.CUT_OFF : Why.LOST) : null;
     }
 
@@ -261,12 +261,12 @@
         if (gone) {
             return goDark(now, peers.served() > 0 ? Why.CUT_OFF : Why.LOST);
         }
-        if (proved == 0 && now - since > rules.settle() && enough() && lostShare() >= rules.doubtShare()) {
+        if (proved == 0 && now - since > rules.settleMicros() && enough() && lostShare() >= rules.doubtShare()) {
             return goDark(now, Why.LOST); // the sign that brought it back was the last one
         }
         boolean seen = peers.well() > 0 && peers.lost() == 0 && lost == 0; // we have no work there, others have
         boolean served = proved > 0 && provedWeight - provedLost >= BACK * weight;
-        if (now - since >= rules.settle() && (served || seen && proved == 0)) {
+        if (now - since >= rules.settleMicros() && (served || seen && proved == 0)) {
             returnedAt = why == Why.LOST ? now : returnedAt;
             why = Why.NONE;
             return move(now, HallState.SERVING);
@@ -276,15 +276,15 @@
 
     private String goDark(long now, Why reason) {
         boolean planned = reason == Why.PLANNED || reason == Why.UNLISTED || reason == Why.CUT_OFF;
-        boolean again =
-                !planned && (state == HallState.RETURNING && proved > 0 || now - returnedAt <= rules.flapWindow());
+        boolean again = !planned
+                && (state == HallState.RETURNING && proved > 0 || now - returnedAt <= rules.flapWindowMicros());
         why = reason;
         darkAt = now;
         trial = null;
         pauses = 0;
         trialAt = now + pause();
         if (again) {
-            long most = Math.min(rules.holdMost(), rules.holdOff() << Math.min(flaps++, 16));
+            long most = Math.min(rules.maxHoldOffMicros(), rules.holdOffMicros() << Math.min(flaps++, 16));
             heldUntil = now + (long) (most * (0.75 + random.getAsDouble() / 2));
             return move(now, HallState.HELD);
         }
@@ -293,7 +293,7 @@
 
     private String comeBack(long now) {
         for (HallServer p : places) {
-            p.unprove(now, now + (long) (random.getAsDouble() * rules.trialEvery()));
+            p.unprove(now, now + (long) (random.getAsDouble() * rules.trialPauseMicros()));
             if (!suspect()) {
                 p.allow = Math.max(1, p.slots / 2); // it was well all the time; still it is not hit by all at once
             }
@@ -302,7 +302,7 @@
     }
 
     private long pause() {
-        return (long) ((rules.trialEvery() << Math.min(pauses, MOST_PAUSES)) * (0.75 + random.getAsDouble() / 2));
+        return (long) ((rules.trialPauseMicros() << Math.min(pauses, MOST_PAUSES)) * (0.75 + random.getAsDouble() / 2));
     }
 
     private String move(long now, HallState to) {
@@ -339,7 +339,7 @@
                     : !p.trying
                             && now >= p.nextTry
                             && (trying < Math.max(1, proved) || !suspect())
-                            && (repeatable || !p.lost() || now - p.nextTry > 4 * rules.trialEvery());
+                            && (repeatable || !p.lost() || now - p.nextTry > 4 * rules.trialPauseMicros());
         };
     }
 
@@ -383,7 +383,7 @@
             p.proved = true;
             p.allow += Math.max(1, p.allow / 2);
         } else if (!served && !p.proved) {
-            p.nextTry = now + (long) (rules.trialEvery() * (1 + random.getAsDouble()));
+            p.nextTry = now + (long) (rules.trialPauseMicros() * (1 + random.getAsDouble()));
         }
     }
 
--- a/src/main/java/barrowshore/halls/HallPolicy.java
+++ b/src/main/java/barrowshore/halls/HallPolicy.java
@@ -12,112 +12,115 @@
     double CLOSED = Double.POSITIVE_INFINITY;
 
     /** The first byte of datagrams that are the halls' own. */
-    byte MARK = 3;
+    byte MESSAGE_TYPE = 3;
 
     /** The gate of a scheduler whose operators have said nothing of halls. */
     HallPolicy OFF = new HallPolicy() {};
 
     /** Goes on under other rules for the same halls; false: it cannot, and has to be made anew. */
-    default boolean rules(HallRules rules) {
+    default boolean changeRules(HallRules rules) {
         return false;
     }
 
     /** The handle of a server, kept by the caller; null: there are no halls. */
-    default HallServer place(String server) {
+    default HallServer serverFor(String server) {
         return null;
     }
 
     /** What the list says of a server now. slots and speed: what it can do, by the caller's own measure. */
-    default void listed(long now, HallServer place, int zone, boolean ready, boolean draining, long startedAt) {}
+    default void updateListing(long now, HallServer place, int zone, boolean ready, boolean draining, long startedAt) {}
 
     /** What the module believes of a listed server, renewed now and then; silent: signs that were due did not come. */
-    default void see(long now, HallServer place, double slots, double speed, boolean silent) {}
+    default void updateCapacity(long now, HallServer place, double slots, double speed, boolean silent) {}
 
     /** A server has given a sign: it started a job, went on with one, or answered. */
-    default void sign(long now, HallServer place) {}
+    default void recordSignOfLife(long now, HallServer place) {}
 
     /** A probe of a server has ended; answered: by itself, whatever it said. */
-    default void probed(long now, HallServer place, boolean answered) {}
+    default void recordProbe(long now, HallServer place, boolean answered) {}
 
     /** Something speaks against a server. */
-    default void against(long now, HallServer place, HallServer.Fault what) {}
+    default void recordFault(long now, HallServer place, HallServer.Fault what) {}
 
     /** A job was sent. wait: how long it is expected to wait there, as a share of the usual wanted time. */
-    default void sent(long now, HallServer place, double slots, double wait) {}
+    default void recordSent(long now, HallServer place, double slots, double wait) {}
 
     /** A job that was sent at that time has ended; served: with a result. */
-    default void ended(long now, HallServer place, long sentAt, double slots, boolean served) {}
+    default void recordEnd(long now, HallServer place, long sentAt, double slots, boolean served) {}
 
-    /** A request of our own was turned down; worth: as in {@link #weigh}. */
-    default void refused(long now, double worth) {}
+    /** A request of our own was turned down; worth: as in {@link #priceHalls}. */
+    default void recordRefusal(long now, double worth) {}
 
-    /** The number of the hall of a zone, an index into what {@link #weigh} returns. */
-    default int hall(int zone) {
+    /** The number of the hall of a zone, an index into what {@link #priceHalls} returns. */
+    default int hallOfZone(int zone) {
         return 0;
     }
 
     /**
      * Weighs a request before a pick. Returns for each hall how many times the price of crossing a request pays there;
-     * {@link #CLOSED}: not at all; below 0: as many times as {@link #asked} says, at servers that {@link #takes} takes.
-     * The array is the gate's own, and holds until the next call. worth: for the room it takes,
+     * {@link #CLOSED}: not at all; below 0: as many times as {@link #perServerPrice} says, at servers that
+     * {@link #mayUse} takes. The array is the gate's own, and holds until the next call. worth: for the room it takes,
      * against the usual job, 0 to 1; repeatable: it may run twice; tier: the furthest tier to look at.
      */
-    default double[] weigh(long now, double slots, double worth, boolean repeatable, int tier) {
+    default double[] priceHalls(long now, double slots, double worth, boolean repeatable, int tier) {
         throw new UnsupportedOperationException("without halls there is nothing to weigh");
     }
 
     /** The price of a hall whose servers have to be asked for one by one. */
-    static double asked(double price) {
+    static double perServerPrice(double price) {
         return price < 0 ? -1 - price : price;
     }
 
     /** Whether the request weighed last may go to this server, as far as its hall is concerned. */
-    default boolean takes(HallServer place) {
+    default boolean mayUse(HallServer place) {
         return true;
     }
 
     /** How many rounds of tiers a pick may need. */
-    default int rounds() {
+    default int tierRounds() {
         return 1;
     }
 
     /** Whether the server's hall is in use; else its capacity counts for nothing. */
-    default boolean open(HallServer place) {
+    default boolean isHallInUse(HallServer place) {
         return true;
     }
 
     /** Whether the server's hall is anything but serving. */
-    default boolean troubled(HallServer place) {
+    default boolean isHallTroubled(HallServer place) {
         return false;
     }
 
-    /** Whether a request that this server gave back, or lost, may be tried again. worth: as in {@link #weigh}. */
-    default boolean mayRepeat(long now, HallServer place, double worth) {
+    /** Whether a request that this server gave back, or lost, may be tried again. worth: as in {@link #priceHalls}. */
+    default boolean mayRetry(long now, HallServer place, double worth) {
         return true;
     }
 
-    /** Moves the halls' states by the evidence; returns what there is to log. mayProbe: {@link #probes} will be sent. */
-    default List<String> turn(long now, boolean mayProbe) {
+    /**
+     * Moves the halls' states by the evidence; returns what there is to log. mayProbe: {@link #serversToProbe} will be
+     * sent.
+     */
+    default List<String> updateStates(long now, boolean mayProbe) {
         return List.of();
     }
 
     /** The servers to probe now, chosen by the last turn. */
-    default List<String> probes() {
+    default List<String> serversToProbe() {
         return List.of();
     }
 
     /** What to tell the other schedulers now, at most 256 bytes; null: nothing. */
-    default byte[] message(long now) {
+    default byte[] nextMessage(long now) {
         return null;
     }
 
     /** Takes in what another scheduler has told; false: it is not about halls. */
-    default boolean heard(long now, int from, byte[] message) {
-        return message.length > 0 && message[0] == MARK;
+    default boolean receive(long now, int from, byte[] message) {
+        return message.length > 0 && message[0] == MESSAGE_TYPE;
     }
 
     /** Slots that our work holds in a hall other than our own. */
-    default double spilled(int hall) {
+    default double spilledSlots(int hall) {
         return 0;
     }
 
--- a/src/main/java/barrowshore/halls/HallRules.java
+++ b/src/main/java/barrowshore/halls/HallRules.java
@@ -8,48 +8,52 @@
  *
  * @param names the halls' names, by number
  * @param home the hall that this scheduler's clients belong to; -1: none, so that every hall is foreign
- * @param tier for each hall how far it is down this scheduler's preference: 0 is the first choice
+ * @param tiersByHall for each hall how far it is down this scheduler's preference: 0 is the first choice
  * @param strict whether a further tier is used only for what no nearer one takes; else it is used at a price
- * @param spill the share of a hall's usable slots that work from other halls may hold, all schedulers together
+ * @param spillShare the share of a hall's usable slots that work from other halls may hold, all schedulers together
  * @param doubtShare the share of what is known of a hall's capacity that must be lost for the hall to be doubted
- * @param darkAfter how long a doubt may last before the hall is taken for dark
- * @param trialEvery the first pause between two trials of a dark hall; it doubles up to eight times this
- * @param settle how long a hall has to serve again before it counts as serving
- * @param holdOff how long a hall that went dark again is held off; doubles with each time more
- * @param holdMost the longest such time
- * @param flapWindow how long after its return a hall that goes dark has flapped
+ * @param darkAfterMicros how long a doubt may last before the hall is taken for dark
+ * @param trialPauseMicros the first pause between two trials of a dark hall; it doubles up to eight times this
+ * @param settleMicros how long a hall has to serve again before it counts as serving
+ * @param holdOffMicros how long a hall that went dark again is held off; doubles with each time more
+ * @param maxHoldOffMicros the longest such time
+ * @param flapWindowMicros how long after its return a hall that goes dark has flapped
  * @param retryShare what may be tried again of what a troubled hall gave back, against all requests sent
  * @param retryBurst requests that may be tried again at once, however few have been sent
  */
 public record HallRules(
         List<String> names,
         int home,
-        List<Integer> tier,
+        List<Integer> tiersByHall,
         boolean strict,
-        double spill,
+        double spillShare,
         double doubtShare,
-        long darkAfter,
-        long trialEvery,
-        long settle,
-        long holdOff,
-        long holdMost,
-        long flapWindow,
+        long darkAfterMicros,
+        long trialPauseMicros,
+        long settleMicros,
+        long holdOffMicros,
+        long maxHoldOffMicros,
+        long flapWindowMicros,
         double retryShare,
         double retryBurst) {
     /** Checks what cannot work; an IllegalArgumentException names it. */
     public HallRules {
         names = List.copyOf(names);
-        tier = List.copyOf(tier);
+        tiersByHall = List.copyOf(tiersByHall);
         require(!names.isEmpty(), "halls: no hall is named");
-        require(tier.size() == names.size(), "halls: each hall needs its tier");
+        require(tiersByHall.size() == names.size(), "halls: each hall needs its tier");
         require(home >= -1 && home < names.size(), "halls: home is no hall");
-        require(tier.stream().allMatch(t -> t >= 0), "halls: a tier must not be negative");
-        require(spill >= 0 && spill <= 1, "halls: spill must be in [0, 1]");
+        require(tiersByHall.stream().allMatch(t -> t >= 0), "halls: a tier must not be negative");
+        require(spillShare >= 0 && spillShare <= 1, "halls: spill must be in [0, 1]");
         require(doubtShare > 0.5 && doubtShare <= 1, "halls: doubtShare must be in (0.5, 1]");
         require(
-                darkAfter > 0 && trialEvery > 0 && settle > 0 && holdOff > 0 && flapWindow > 0,
+                darkAfterMicros > 0
+                        && trialPauseMicros > 0
+                        && settleMicros > 0
+                        && holdOffMicros > 0
+                        && flapWindowMicros > 0,
                 "halls: times must be positive");
-        require(holdMost >= holdOff, "halls: holdMost must not be under holdOff");
+        require(maxHoldOffMicros >= holdOffMicros, "halls: holdMost must not be under holdOff");
         require(retryShare >= 0 && retryShare <= 1, "halls: retryShare must be in [0, 1]");
         require(retryBurst >= 1, "halls: retryBurst must be at least 1");
     }
@@ -61,7 +65,7 @@
     }
 
     /** The usual rules: the home hall first, all others second. */
-    public static HallRules usual(List<String> names, int home) {
+    public static HallRules defaults(List<String> names, int home) {
         return new HallRules(
                 names,
                 home,
@@ -87,12 +91,12 @@
     }
 
     int tierOf(int hall) {
-        return hall < tier.size() ? tier.get(hall) : tiers() - 1;
+        return hall < tiersByHall.size() ? tiersByHall.get(hall) : tiers() - 1;
     }
 
     /** How many tiers there are. */
     int tiers() {
-        return 1 + tier.stream().mapToInt(t -> t).max().orElse(0);
+        return 1 + tiersByHall.stream().mapToInt(t -> t).max().orElse(0);
     }
 
     String name(int hall) {
--- a/src/main/java/barrowshore/halls/HallTalk.java
+++ b/src/main/java/barrowshore/halls/HallTalk.java
@@ -31,7 +31,7 @@
 
     static byte[] write(Message m) {
         ByteBuffer out = ByteBuffer.allocate(HEAD + ENTRY * m.halls().size());
-        out.put(HallPolicy.MARK).putShort((short) m.life()).putShort((short) m.number());
+        out.put(HallPolicy.MESSAGE_TYPE).putShort((short) m.life()).putShort((short) m.number());
         out.put((byte) (m.home() < 0 ? 255 : m.home())).put((byte) m.halls().size());
         for (Told t : m.halls()) {
             out.put((byte) t.hall()).put((byte) (t.state().ordinal() << 4 | (t.asks() ? 1 : 0)));
@@ -44,7 +44,7 @@
 
     /** Reads a message; null if it is none. */
     static Message read(byte[] bytes, int halls) {
-        if (bytes.length < HEAD || bytes[0] != HallPolicy.MARK) {
+        if (bytes.length < HEAD || bytes[0] != HallPolicy.MESSAGE_TYPE) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
--- a/src/main/java/barrowshore/halls/Halls.java
+++ b/src/main/java/barrowshore/halls/Halls.java
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public boolean rules(HallRules changed) {
+    public boolean changeRules(HallRules changed) {
         if (!changed.names().equals(rules.names()) || changed.home() != rules.home()) {
             return false;
         }
@@ -120,12 +120,12 @@
     // What there is, and what speaks for and against it.
 
     @Override
-    public HallServer place(String server) {
+    public HallServer serverFor(String server) {
         return places.computeIfAbsent(server, HallServer::new);
     }
 
     @Override
-    public void listed(long now, HallServer p, int zone, boolean ready, boolean draining, long startedAt) {
+    public void updateListing(long now, HallServer p, int zone, boolean ready, boolean draining, long startedAt) {
         int hall = rules.hall(zone);
         if (p.hall != hall) {
             if (p.hall >= 0) {
@@ -147,23 +147,23 @@
     }
 
     @Override
-    public void see(long now, HallServer p, double slots, double speed, boolean silent) {
+    public void updateCapacity(long now, HallServer p, double slots, double speed, boolean silent) {
         p.slots = slots;
         p.weight = slots * speed;
         if (silent) {
-            against(now, p, HallServer.Fault.SILENT);
+            recordFault(now, p, HallServer.Fault.SILENT);
         }
     }
 
     @Override
-    public void sign(long now, HallServer p) {
+    public void recordSignOfLife(long now, HallServer p) {
         p.signAt = now;
         p.lostAt = 0;
         p.against = 0;
     }
 
     @Override
-    public void against(long now, HallServer p, HallServer.Fault what) {
+    public void recordFault(long now, HallServer p, HallServer.Fault what) {
         boolean firm = what != HallServer.Fault.RESET;
         if (p.lostAt == 0) {
             p.lostAt = now;
@@ -176,16 +176,16 @@
     }
 
     @Override
-    public void probed(long now, HallServer p, boolean answered) {
+    public void recordProbe(long now, HallServer p, boolean answered) {
         if (answered) {
-            sign(now, p);
+            recordSignOfLife(now, p);
         } else {
-            against(now, p, HallServer.Fault.UNREACHABLE);
+            recordFault(now, p, HallServer.Fault.UNREACHABLE);
         }
     }
 
     @Override
-    public void sent(long now, HallServer p, double slots, double wait) {
+    public void recordSent(long now, HallServer p, double slots, double wait) {
         p.out += slots;
         p.jobsOut++;
         if (p.hall != rules.home()) {
@@ -197,27 +197,27 @@
     }
 
     @Override
-    public void ended(long now, HallServer p, long sentAt, double slots, boolean served) {
+    public void recordEnd(long now, HallServer p, long sentAt, double slots, boolean served) {
         p.jobsOut = Math.max(0, p.jobsOut - 1);
         p.out = p.jobsOut == 0 ? 0 : p.out - slots;
         if (p.hall != rules.home()) {
             shares[p.hall].use(now, -slots);
         }
         if (served) {
-            sign(now, p);
+            recordSignOfLife(now, p);
         }
         halls[p.hall].ended(now, p, sentAt, slots, served);
     }
 
     @Override
-    public void refused(long now, double worth) {
+    public void recordRefusal(long now, double worth) {
         crowded |= worth >= MISSED;
     }
 
     // Where a request may go.
 
     @Override
-    public double[] weigh(long now, double slots, double worth, boolean repeatable, int tier) {
+    public double[] priceHalls(long now, double slots, double worth, boolean repeatable, int tier) {
         this.now = now;
         this.size = slots;
         this.repeatable = repeatable;
@@ -249,7 +249,7 @@
     }
 
     @Override
-    public int hall(int zone) {
+    public int hallOfZone(int zone) {
         return rules.hall(zone);
     }
 
@@ -259,7 +259,7 @@
         if (state == HallState.DARK) {
             return true; // a trial, one at a time; whoever serves its diners will not have to find out alone
         }
-        if (state != HallState.SERVING || rules.spill() == 0 || halls[h].places.isEmpty()) {
+        if (state != HallState.SERVING || rules.spillShare() == 0 || halls[h].places.isEmpty()) {
             return false;
         }
         double used = shares[h].used() + slots;
@@ -274,7 +274,7 @@
     /** Slots that our work may hold in a foreign hall now. */
     double part(long now, int h) {
         int sharers = sharers(h);
-        double whole = rules.spill() * halls[h].usable() * welcome(now, h);
+        double whole = rules.spillShare() * halls[h].usable() * welcome(now, h);
         return shares[h].bound(now, whole / sharers, sharers);
     }
 
@@ -299,28 +299,28 @@
     }
 
     @Override
-    public boolean takes(HallServer p) {
+    public boolean mayUse(HallServer p) {
         return panic ? halls[p.hall].takesInPanic(p) : halls[p.hall].takes(now, p, size, repeatable);
     }
 
     @Override
-    public int rounds() {
+    public int tierRounds() {
         return rules.strict() ? rules.tiers() : 1;
     }
 
     @Override
-    public boolean open(HallServer p) {
+    public boolean isHallInUse(HallServer p) {
         HallState state = halls[p.hall].state;
         return state != HallState.DARK && state != HallState.HELD && (state != HallState.DOUBTED || !p.lost());
     }
 
     @Override
-    public boolean troubled(HallServer p) {
+    public boolean isHallTroubled(HallServer p) {
         return halls[p.hall].state != HallState.SERVING;
     }
 
     @Override
-    public boolean mayRepeat(long now, HallServer p, double worth) {
+    public boolean mayRetry(long now, HallServer p, double worth) {
         if (halls[p.hall].state == HallState.SERVING) {
             return true; // one server's trouble: the module's own budget will do
         }
@@ -335,7 +335,7 @@
     // As time goes.
 
     @Override
-    public List<String> turn(long now, boolean mayProbe) {
+    public List<String> updateStates(long now, boolean mayProbe) {
         List<String> news = List.of();
         probes.clear();
         // Guards against our own pauses: after one everything looks silent, and only the next words count.
@@ -391,12 +391,12 @@
     }
 
     @Override
-    public List<String> probes() {
+    public List<String> serversToProbe() {
         return probes;
     }
 
     @Override
-    public byte[] message(long now) {
+    public byte[] nextMessage(long now) {
         if (peers.length < 2) {
             return null;
         }
@@ -406,7 +406,7 @@
             int h = (tellFrom + k) % halls.length;
             SpillShare share = shares[h];
             boolean foreign = h != rules.home();
-            double even = rules.spill() * halls[h].usable() / sharers(h);
+            double even = rules.spillShare() * halls[h].usable() / sharers(h);
             long sign = now - halls[h].signAt();
             // Only first-hand: what was merely told must not come back to its teller as a second voice.
             HallState state = halls[h].why == Hall.Why.TOLD ? HallState.SERVING : halls[h].state;
@@ -428,8 +428,8 @@
     }
 
     @Override
-    public boolean heard(long now, int from, byte[] bytes) {
-        if (bytes.length == 0 || bytes[0] != MARK) {
+    public boolean receive(long now, int from, byte[] bytes) {
+        if (bytes.length == 0 || bytes[0] != MESSAGE_TYPE) {
             return false;
         }
         HallTalk.Message m = HallTalk.read(bytes, halls.length);
@@ -463,7 +463,7 @@
     }
 
     @Override
-    public double spilled(int hall) {
+    public double spilledSlots(int hall) {
         return hall == rules.home() ? 0 : shares[hall].used();
     }
 }
--- a/src/main/java/barrowshore/list/OperatorServerList.java
+++ b/src/main/java/barrowshore/list/OperatorServerList.java
@@ -48,7 +48,7 @@
      * The file as a list for a scheduler with these names. bootMicros: when a server that is not said to be warm counts
      * as started, so that it is cold; by its uid. An unknown hall or model is an error.
      */
-    public ServerList.Update update(ServerList.ZoneKindNames names, ToLongFunction<Server> bootMicros) {
+    public ServerList.Update toUpdate(ServerList.ZoneKindNames names, ToLongFunction<Server> bootMicros) {
         List<ServerList.Entry> entries = new ArrayList<>();
         for (Server s : servers.values()) {
             int zone = names.zones().indexOf(s.hall);
--- a/src/main/java/barrowshore/list/ServerList.java
+++ b/src/main/java/barrowshore/list/ServerList.java
@@ -34,17 +34,17 @@
             int kind,
             int cell,
             State state,
-            double hint,
+            double capacityHint,
             long bootMicros) {
         /** The entry as the decision module takes it. */
-        public Member member() {
+        public Member toMember() {
             Health health =
                     switch (state) {
                         case READY -> Health.READY;
                         case TERMINATING -> Health.DRAINING;
                         case GONE -> Health.GONE;
                     };
-            return new Member(uid, health, hint, cell, kind, zone, bootMicros);
+            return new Member(uid, health, capacityHint, cell, kind, zone, bootMicros);
         }
     }
 
@@ -52,20 +52,20 @@
      * A version of the list: all of it, or what changed; unknown: the servers left out, of no known model. One that
      * leaves is never left out: whatever else is said of it, nothing new may go there.
      */
-    public record Update(long rev, boolean all, List<Entry> entries, List<String> unknown) {
+    public record Update(long revision, boolean full, List<Entry> entries, List<String> unknownServers) {
         /** A list from which nothing was left out. */
         public Update(long rev, boolean all, List<Entry> entries) {
             this(rev, all, entries, List.of());
         }
 
         /** The whole list that changes make of this whole one. */
-        public Update with(Update changes) {
+        public Update apply(Update changes) {
             Map<String, Entry> next = new LinkedHashMap<>();
             entries.forEach(e -> next.put(e.uid(), e));
             changes.entries().forEach(e -> next.put(e.uid(), e));
-            changes.unknown().forEach(next::remove);
+            changes.unknownServers().forEach(next::remove);
             next.values().removeIf(e -> e.state() == State.GONE);
-            return new Update(changes.rev(), true, List.copyOf(next.values()), changes.unknown());
+            return new Update(changes.revision(), true, List.copyOf(next.values()), changes.unknownServers());
         }
     }
 
@@ -73,7 +73,7 @@
     public record ZoneKindNames(List<String> zones, List<String> kinds) {}
 
     /** Reads a list in discovery's form; an IllegalArgumentException names what is wrong. */
-    public static Update read(Map<?, ?> json, ZoneKindNames names) {
+    public static Update parse(Map<?, ?> json, ZoneKindNames names) {
         if (!(json.get("targets") instanceof List<?> targets)) {
             throw new IllegalArgumentException("targets is missing or not a list");
         }
--- a/src/main/java/barrowshore/list/ServerListChangePolicy.java
+++ b/src/main/java/barrowshore/list/ServerListChangePolicy.java
@@ -14,7 +14,7 @@
  */
 public final class ServerListChangePolicy {
     /** What becomes of a file, and why. */
-    public record Decision(Outcome outcome, String why) {}
+    public record Decision(Outcome outcome, String reason) {}
 
     /** taken; the same as before; held until a later revision confirms it; refused. */
     public enum Outcome {
@@ -27,7 +27,7 @@
     private ServerListChangePolicy() {}
 
     /** Judges a file against the one in use (null: none). mostLost: the share of capacity that may go at once. */
-    public static Decision judge(OperatorServerList inUse, OperatorServerList next, double mostLost) {
+    public static Decision check(OperatorServerList inUse, OperatorServerList next, double mostLost) {
         if (inUse == null) {
             return next.servers().isEmpty() && !next.force()
                     ? new Decision(Outcome.HELD, "it names no server; force=\"true\" in a later revision confirms it")
@@ -115,7 +115,7 @@
     }
 
     /** The list, a line for each server. */
-    public static List<String> show(OperatorServerList file) {
+    public static List<String> format(OperatorServerList file) {
         return file.servers().values().stream()
                 .map(s -> s.uid() + " " + describe(s))
                 .toList();
--- a/src/main/java/barrowshore/list/ServerListMerger.java
+++ b/src/main/java/barrowshore/list/ServerListMerger.java
@@ -51,23 +51,23 @@
      * Makes a source known. rank: the lower, the more its word counts; grace: how long what it gives up drains before it
      * is gone, microseconds.
      */
-    public void source(String name, int rank, long grace) {
+    public void addSource(String name, int rank, long grace) {
         if (sources.putIfAbsent(name, new Source(rank, grace)) != null) {
             throw new IllegalArgumentException("source " + name + " is there already");
         }
     }
 
     /** From now on what a source gives up drains for so long. */
-    public void grace(String name, long grace) {
+    public void setGrace(String name, long grace) {
         known(name).grace = grace;
     }
 
     /** A source has said this: all of its list, or what changed in it. Returns what changes for the module. */
-    public Update say(long now, String name, Update update) {
+    public Update apply(long now, String name, Update update) {
         Source s = known(name);
-        s.rev = update.rev();
+        s.rev = update.revision();
         s.heardAt = now;
-        Map<String, Entry> next = update.all() ? new LinkedHashMap<>() : new LinkedHashMap<>(s.entries);
+        Map<String, Entry> next = update.full() ? new LinkedHashMap<>() : new LinkedHashMap<>(s.entries);
         for (Entry e : update.entries()) {
             if (e.state() == State.GONE) {
                 next.remove(e.uid());
@@ -92,7 +92,7 @@
     /** A source is no more: all that it named drains for its grace. */
     public Update withdraw(long now, String name) {
         Source s = known(name);
-        return say(now, name, new Update(s.rev, true, List.of()));
+        return apply(now, name, new Update(s.rev, true, List.of()));
     }
 
     private Source known(String name) {
@@ -104,12 +104,12 @@
     }
 
     /** What has changed since because time has passed: graces that are over. */
-    public Update tick(long now) {
+    public Update expireGraces(long now) {
         return changes(now);
     }
 
-    /** When {@link #tick} will have something to say; Long.MAX_VALUE: not before a source says something. */
-    public long nextTick() {
+    /** When {@link #expireGraces} will have something to say; Long.MAX_VALUE: not before a source says something. */
+    public long nextExpiry() {
         return sources.values().stream()
                 .flatMap(s -> s.givenUp.values().stream())
                 .mapToLong(t -> t)
@@ -118,7 +118,7 @@
     }
 
     /** The list as it was told last, whole. */
-    public Update whole() {
+    public Update currentList() {
         return new Update(rev, true, List.copyOf(told.values()));
     }
 
@@ -174,7 +174,7 @@
                 e.kind(),
                 e.cell(),
                 State.TERMINATING,
-                e.hint(),
+                e.capacityHint(),
                 e.bootMicros());
     }
 
@@ -196,7 +196,7 @@
                         e.kind(),
                         e.cell(),
                         State.GONE,
-                        e.hint(),
+                        e.capacityHint(),
                         e.bootMicros()));
             }
         }
--- a/src/main/java/barrowshore/module/DispatchApi.java
+++ b/src/main/java/barrowshore/module/DispatchApi.java
@@ -74,21 +74,21 @@
 
     /** A class of jobs. Times in microseconds; kind -1: any; aim grows by stretch times the job's own work. */
     record JobClass(
-            long aim,
-            double stretch,
-            long deadline,
+            long targetMicros,
+            double targetStretch,
+            long deadlineMicros,
             double worth,
-            double lateShare,
-            RepeatSafety effect,
+            double lateWorthShare,
+            RepeatSafety safety,
             DedupScope scope,
-            long repeatWindow,
+            long repeatWindowMicros,
             int kind,
             int priority) {
         public JobClass {
-            Settings.require(deadline > 0, "class deadline must be positive");
-            Settings.require(aim >= 0, "class aim must not be negative");
+            Settings.require(deadlineMicros > 0, "class deadline must be positive");
+            Settings.require(targetMicros >= 0, "class aim must not be negative");
             Settings.require(worth >= 0 && worth < Double.POSITIVE_INFINITY, "class worth must be a number from 0");
-            Settings.require(effect != null && scope != null, "class effect and scope must be set");
+            Settings.require(safety != null && scope != null, "class effect and scope must be set");
         }
     }
 
@@ -97,47 +97,47 @@
         public long seed = 1;
         public int dispatchers = 1;
         /** This dispatcher's number among them, from 0. */
-        public int me;
+        public int ownIndex;
 
         public int zone;
         /** How many machine kinds there are. */
         public int kinds = 1;
 
-        public long tick = 1_000;
+        public long tickMicros = 1_000;
         public JobClass[] classes = new JobClass[0];
         /** Jobs a second that each tenant may send over all dispatchers; empty: no tenants. */
         public double[] tenantQuota = new double[0];
 
-        public double overShareWorth = 0.1;
+        public double overQuotaWorth = 0.1;
         /** Whether a job is worth its class's worth for each unit of work rather than as a whole. */
-        public boolean worthByWork;
+        public boolean worthPerWork;
 
         public int maxAttempts = 3;
-        public boolean secondCopies;
+        public boolean mayHedge;
         public boolean mayCancel;
         public boolean mayProbe;
         /** Whether dispatchers may send one another short messages. */
-        public boolean mayTell;
+        public boolean mayMessagePeers;
 
-        public long maxRetryAfter = 1_000_000;
+        public long maxRetryAfterMicros = 1_000_000;
         /** Whether a listed rating is a size divided by 1 + jobs held for each core, some time ago. */
-        public boolean liveRatings;
+        public boolean ratingsReflectLoad;
         /** Whether the list comes only when asked for. */
-        public boolean askForList;
+        public boolean pollsList;
 
-        public long askEvery = 10_000_000;
-        public ReportSource reports = ReportSource.NONE;
-        public boolean tellsStart;
-        public long progressEvery;
-        public long connectTimeout = 250_000;
+        public long listPollMicros = 10_000_000;
+        public ReportSource reportSource = ReportSource.NONE;
+        public boolean notesStart;
+        public long progressMicros;
+        public long connectTimeoutMicros = 250_000;
         public double startCapacity = 0.1;
-        public long cold = 20_000_000;
-        public double fallMultiple = 3;
-        public long fall = 1_000_000;
+        public long warmUpMicros = 20_000_000;
+        public double overloadMultiple = 3;
+        public long overloadWindowMicros = 1_000_000;
         /** Points of the result for each attempt that crosses zones. */
         public double crossZoneCharge;
         /** The part of what is due to one dispatcher that this one may use. */
-        public double share = 1;
+        public double dispatcherShare = 1;
         /** The operators' rules on halls, which are the zones; null: halls are not told apart but by that charge. */
         public HallRules halls;
 
@@ -159,45 +159,48 @@
         /** The same, apart from these. */
         Settings copy() {
             Settings copy = new Settings();
-            copy.stand(this);
-            copy.take(this);
+            copy.copyIdentityFrom(this);
+            copy.copyReloadableFrom(this);
             return copy;
         }
 
-        /** Takes over another's settings, but for what {@link #stand} does: it may change while jobs are under way. */
-        public void take(Settings next) {
+        /**
+         * Takes over another's settings, but for what {@link #copyIdentityFrom} does: it may change while jobs are under
+         * way.
+         */
+        public void copyReloadableFrom(Settings next) {
             classes = next.classes;
             tenantQuota = next.tenantQuota;
-            overShareWorth = next.overShareWorth;
-            worthByWork = next.worthByWork;
+            overQuotaWorth = next.overQuotaWorth;
+            worthPerWork = next.worthPerWork;
             maxAttempts = next.maxAttempts;
-            secondCopies = next.secondCopies;
+            mayHedge = next.mayHedge;
             mayCancel = next.mayCancel;
             mayProbe = next.mayProbe;
-            mayTell = next.mayTell;
-            maxRetryAfter = next.maxRetryAfter;
-            liveRatings = next.liveRatings;
-            askForList = next.askForList;
-            askEvery = next.askEvery;
-            reports = next.reports;
-            tellsStart = next.tellsStart;
-            progressEvery = next.progressEvery;
+            mayMessagePeers = next.mayMessagePeers;
+            maxRetryAfterMicros = next.maxRetryAfterMicros;
+            ratingsReflectLoad = next.ratingsReflectLoad;
+            pollsList = next.pollsList;
+            listPollMicros = next.listPollMicros;
+            reportSource = next.reportSource;
+            notesStart = next.notesStart;
+            progressMicros = next.progressMicros;
             startCapacity = next.startCapacity;
-            cold = next.cold;
-            fallMultiple = next.fallMultiple;
-            fall = next.fall;
+            warmUpMicros = next.warmUpMicros;
+            overloadMultiple = next.overloadMultiple;
+            overloadWindowMicros = next.overloadWindowMicros;
             crossZoneCharge = next.crossZoneCharge;
         }
 
         /** Takes over who it is among whom, and what is built on that: once, at a start. */
-        public void stand(Settings other) {
+        public void copyIdentityFrom(Settings other) {
             seed = other.seed;
             dispatchers = other.dispatchers;
-            me = other.me;
+            ownIndex = other.ownIndex;
             zone = other.zone;
             kinds = other.kinds;
-            tick = other.tick;
-            connectTimeout = other.connectTimeout;
+            tickMicros = other.tickMicros;
+            connectTimeoutMicros = other.connectTimeoutMicros;
             halls = other.halls;
         }
 
@@ -209,13 +212,13 @@
             for (JobClass c : classes) {
                 require(c.kind() < kinds, "class kind must be under kinds");
             }
-            require(tick > 0, "tick must be positive");
+            require(tickMicros > 0, "tick must be positive");
             require(maxAttempts >= 1, "maxAttempts must be at least 1");
             require(startCapacity > 0 && startCapacity <= 1, "startCapacity must be in (0, 1]");
-            require(cold > 0, "cold must be positive");
-            require(fall > 0, "fall must be positive");
-            require(fallMultiple > 0, "fallMultiple must be positive");
-            require(askEvery > 0, "askEvery must be positive");
+            require(warmUpMicros > 0, "cold must be positive");
+            require(overloadWindowMicros > 0, "fall must be positive");
+            require(overloadMultiple > 0, "fallMultiple must be positive");
+            require(listPollMicros > 0, "askEvery must be positive");
         }
     }
 
@@ -223,7 +226,7 @@
     record Member(String worker, Health health, double rating, int cell, int kind, int zone, long startedAt) {}
 
     /** A job to answer. hint: its expected work in microseconds at speed 1, 0 if unknown; left: time to answer. */
-    record Request(String id, int jobClass, int tenant, double slots, double hint, long left) {}
+    record Request(String id, int jobClass, int tenant, double slots, double workHintMicros, long timeLeftMicros) {}
 
     /** A worker's load report; what it does not tell is NaN. */
     record Load(double inFlight, double queue, double freeSlots) {}
@@ -246,26 +249,26 @@
     void probed(long now, String worker, Status status, long latency, Load load);
 
     /** Another dispatcher has told us something; it may come late, twice, out of order or not at all. */
-    void peer(long now, int from, byte[] message);
+    void peerMessage(long now, int from, byte[] message);
 
-    void timer(long now, String token);
+    void timerFired(long now, String token);
 
     /** The operators' rules on halls have changed; null: there are none any more. What is out runs on. */
-    default void rules(long now, HallRules rules) {}
+    default void changeHallRules(long now, HallRules rules) {}
 
     /**
      * Other settings from now on; who it is among whom stays. Classes keep their numbers: there may be more of them, and
      * none is left out that jobs under way have; those keep the class that they came with.
      */
-    default void settings(long now, Settings next) {}
+    default void changeSettings(long now, Settings next) {}
 
     /** Where each hall stands, by number; empty where halls are off. */
-    default List<HallState> halls() {
+    default List<HallState> hallStates() {
         return List.of();
     }
 
     /** Slots that our jobs hold in a hall other than our own. */
-    default double spilled(int hall) {
+    default double spilledSlots(int hall) {
         return 0;
     }
 
@@ -273,10 +276,10 @@
      * Two processes may act as one dispatcher for a while: the part of what is due to it that this one may use, where
      * all dispatchers together are bound, as with cold workers.
      */
-    default void share(double part) {}
+    default void setDispatcherShare(double part) {}
 
     /** How many ready workers it sends nothing to just now, whatever the job. */
-    default int avoided(long now) {
+    default int countAvoided(long now) {
         return 0;
     }
 
@@ -296,12 +299,12 @@
         void probe(String worker);
 
         /** Tells every other dispatcher; at most 256 bytes. */
-        void tell(byte[] message);
+        void sendToPeers(byte[] message);
 
-        void timer(long delay, String token);
+        void setTimer(long delay, String token);
 
         /** Asks for the list's changes from now on. */
-        void watch();
+        void watchList();
 
         void log(String line);
     }
--- a/src/main/java/barrowshore/module/Dispatcher.java
+++ b/src/main/java/barrowshore/module/Dispatcher.java
@@ -41,7 +41,7 @@
     private boolean asking;
 
     /** What it has gone over so far. */
-    public WorkCounters effort() {
+    public WorkCounters workCounters() {
         return effort;
     }
 
@@ -62,7 +62,7 @@
         roster = new Roster(halls);
         kinds = new Kind[set.kinds];
         Arrays.setAll(kinds, k -> new Kind(mean.work));
-        peers = new Peers(set.dispatchers, set.me, roster, effort);
+        peers = new Peers(set.dispatchers, set.ownIndex, roster, effort);
         fleet = new FleetView(
                 set, new FleetView.Records(mean, kinds, ledger, roster), halls, peers, shared, rng, effort);
         quotas = new Quotas(set);
@@ -73,10 +73,13 @@
     private void terms() {
         mean.enter(kinds);
         quotas.enter();
-        double aim =
-                Arrays.stream(set.classes).mapToLong(JobClass::aim).average().orElse(0);
-        turns = ColdWorkerBudget.Terms.of(set.dispatchers, set.me, set.fall, set.fallMultiple, aim)
-                .after(turns);
+        double aim = Arrays.stream(set.classes)
+                .mapToLong(JobClass::targetMicros)
+                .average()
+                .orElse(0);
+        turns = ColdWorkerBudget.Terms.of(
+                        set.dispatchers, set.ownIndex, set.overloadWindowMicros, set.overloadMultiple, aim)
+                .keepStartOf(turns);
     }
 
     @Override
@@ -85,15 +88,15 @@
         quotas.start(now);
         fleet.start(now);
         peers.start(now);
-        act.timer((long) (REFRESH_TICKS * set.tick * (0.5 + rng.next())), "refresh");
-        if (set.askForList) {
+        act.setTimer((long) (REFRESH_TICKS * set.tickMicros * (0.5 + rng.next())), "refresh");
+        if (set.pollsList) {
             ask();
         }
     }
 
     private void ask() {
         asking = true;
-        act.watch();
+        act.watchList();
     }
 
     @Override
@@ -101,7 +104,7 @@
         if (how == ListKind.FAILED) {
             // Guards against a storm of calls at a list service that is behind: back off inside askEvery.
             double share = Math.min(1 / 3.0, (1 << Math.min(++askFailures, 6)) / 40.0);
-            act.timer((long) (set.askEvery * share * (0.5 + rng.next())), "ask");
+            act.setTimer((long) (set.listPollMicros * share * (0.5 + rng.next())), "ask");
             asking = true;
             return;
         }
@@ -109,7 +112,7 @@
         askFailures = asking ? askFailures : 0;
         entries.forEach(set::check);
         // Rule: a worker that drains or is gone leaves at once.
-        fleet.listed(now, roster.enter(how, entries, now, set.liveRatings));
+        fleet.listed(now, roster.enter(how, entries, now, set.ratingsReflectLoad));
         probeNext = (int) (rng.next() * roster.ready.length);
         refresh(now);
     }
@@ -122,7 +125,7 @@
         mean.enter(job, LEARN);
         retries.add(RETRY_SHARE);
         dispatch(now, job);
-        if (set.reports == ReportSource.PROBES && set.mayProbe && roster.ready.length > 0) {
+        if (set.reportSource == ReportSource.PROBES && set.mayProbe && roster.ready.length > 0) {
             // Where load is told only when asked: look at one worker a request, in turn; never at a cold one.
             probeNext = (probeNext + 1) % roster.ready.length;
             Worker w = roster.ready[probeNext];
@@ -148,7 +151,7 @@
         // cannot, so the wait that it causes counts by their worth against its own.
         kinds[w.kind].worth += LEARN * job.slots * (mean.value(job) - kinds[w.kind].worth);
         if (w.warmth < 1) {
-            w.cold.sent(now, turns, mean.surely(job));
+            w.cold.recordSent(now, turns, mean.surely(job));
         }
         fleet.price(now, w);
         act.send(job.id, w.id, 0);
@@ -157,7 +160,7 @@
     /** The best worker in the halls that are open to the job, nearer ones first where the rules want that. */
     private Worker pick(long now, Job job) {
         Worker best = null;
-        for (int tier = 0; best == null && tier < halls.gate.rounds(); tier++) {
+        for (int tier = 0; best == null && tier < halls.gate.tierRounds(); tier++) {
             best = lowest(now, job, halls.weigh(now, job, tier));
         }
         return best;
@@ -169,12 +172,12 @@
         double lowest = Double.POSITIVE_INFINITY;
         double crossing = CROSSING * set.crossZoneCharge * mean.aim;
         // Departure: where the aim grows with the job's own work, running slowly costs less than waiting.
-        double running = job.work / (1 + job.jobClass.stretch());
-        double budget = job.jobClass.aim() + job.jobClass.stretch() * job.work;
+        double running = job.work / (1 + job.jobClass.targetStretch());
+        double budget = job.jobClass.targetMicros() + job.jobClass.targetStretch() * job.work;
         // The paper's R for this job, by its worth for each unit of work. Above capacity a wait is passed on
         // to all that follow, which a table of load 0.9 does not know.
         double worth = PATIENCE * mean.aim * mean.value(job) / (fleet.pressure() * fleet.pressure());
-        worth *= job.overQuota ? set.overShareWorth : 1;
+        worth *= job.overQuota ? set.overQuotaWorth : 1;
         effort.picked(roster.ready.length);
         for (Worker w : roster.ready) {
             double away = prices[w.hall];
@@ -202,7 +205,7 @@
             }
             double cost = running / pace + wait * (k.named ? k.worth / mean.value(job) : 1);
             cost += Math.max(0, run - TIGHT * budget); // little of the aim is left for waiting
-            cost += w.charge + crossing * HallPolicy.asked(away);
+            cost += w.charge + crossing * HallPolicy.perServerPrice(away);
             cost *= 1 + TIE * rng.next();
             if (cost < lowest && (w.warmth >= 1 || w.coldMay(now, k.speed, mean.surely(job), set, turns))) {
                 lowest = cost;
@@ -217,10 +220,10 @@
         JobClass type = job.jobClass;
         for (int i = 0; i < job.attempts.size(); i++) {
             Job.Attempt a = job.attempts.get(i);
-            if (a.worker == w || !a.neverRan && type.effect() == RepeatSafety.UNSAFE) {
+            if (a.worker == w || !a.neverRan && type.safety() == RepeatSafety.UNSAFE) {
                 return false;
             }
-            if (!a.neverRan && type.effect() == RepeatSafety.KEYED) {
+            if (!a.neverRan && type.safety() == RepeatSafety.KEYED) {
                 boolean group =
                         switch (type.scope()) {
                             case ALL -> true;
@@ -228,7 +231,7 @@
                             case CELL -> w.cell == a.worker.cell;
                         };
                 // It has to come within the window, and its connection may take its time to come up.
-                if (!group || now + set.connectTimeout - a.sentAt >= type.repeatWindow()) {
+                if (!group || now + set.connectTimeoutMicros - a.sentAt >= type.repeatWindowMicros()) {
                     return false;
                 }
             }
@@ -244,9 +247,9 @@
         ledger.answered(job);
         halls.refused(now, job);
         if (!job.mayHaveRun
-                || job.jobClass.effect() == RepeatSafety.SAFE
-                || job.jobClass.effect() == RepeatSafety.KEYED && job.jobClass.scope() == DedupScope.ALL) {
-            long delay = (long) Math.min(set.maxRetryAfter, mean.work * (1 + rng.next()));
+                || job.jobClass.safety() == RepeatSafety.SAFE
+                || job.jobClass.safety() == RepeatSafety.KEYED && job.jobClass.scope() == DedupScope.ALL) {
+            long delay = (long) Math.min(set.maxRetryAfterMicros, mean.work * (1 + rng.next()));
             act.refuse(job.id, delay); // told also where the site's clients may not heed it
         } else {
             act.fail(job.id);
@@ -293,7 +296,7 @@
         Worker w = a.worker;
         // Guards against taking a job pushed out by one of higher priority for a crash of the worker.
         JobClass type = a.job.jobClass;
-        boolean pushed = type.effect() == RepeatSafety.SAFE && type.priority() < mean.topPriority;
+        boolean pushed = type.safety() == RepeatSafety.SAFE && type.priority() < mean.topPriority;
         if (status == Status.ERROR) {
             w.heardAt = now;
         }
@@ -305,9 +308,9 @@
             w.failed();
         }
         if (status == Status.CONNECT_FAILED) {
-            w.strike(now, ASIDE * set.connectTimeout, rng);
+            w.strike(now, ASIDE * set.connectTimeoutMicros, rng);
         } else if (status == Status.TIMEOUT && w.heardAt < a.sentAt && !w.silent) {
-            w.strike(now, ASIDE * set.connectTimeout, rng); // not a word for all that time
+            w.strike(now, ASIDE * set.connectTimeoutMicros, rng); // not a word for all that time
         } else if (status == Status.FULL) {
             w.heardAt = now;
             // A full worker frees a slot about every 1/(s mu); jittered so that dispatchers come back apart.
@@ -321,12 +324,12 @@
      */
     private void speed(long now, Job.Attempt a, long latency) {
         double ran = Math.max(1, a.startedAt > 0 ? now - a.startedAt : latency), weight = 1;
-        if (a.startedAt == 0 && set.progressEvery > 0) {
+        if (a.startedAt == 0 && set.progressMicros > 0) {
             ran = Math.max(1, (now - a.progressAt) / Math.max(0.01, 1 - a.progress));
             // Guards against an endless speed: a note in the tick of the answer tells nothing.
             weight = a.progressAt == 0 || a.progressAt == now
                     ? 0
-                    : Math.min(MAX_WEIGHT, Math.max(1, set.progressEvery / ran));
+                    : Math.min(MAX_WEIGHT, Math.max(1, set.progressMicros / ran));
         }
         if (weight == 0 || a.worker.warmth(now, set) < 1) {
             return;
@@ -348,7 +351,7 @@
         Job.Attempt a = ledger.attempt(id, number);
         if (a != null) {
             a.worker.heardAt = now;
-            halls.gate.sign(now, a.worker.place);
+            halls.gate.recordSignOfLife(now, a.worker.place);
             a.startedAt = note == Note.STARTED ? now : a.startedAt;
             a.progressAt = note == Note.PROGRESS ? now : a.progressAt;
             a.progress = note == Note.PROGRESS ? share : a.progress;
@@ -382,29 +385,29 @@
     }
 
     private void tell(long now) {
-        byte[] message = set.mayTell && set.dispatchers > 1 ? peers.due(now, mean.work) : null;
+        byte[] message = set.mayMessagePeers && set.dispatchers > 1 ? peers.due(now, mean.work) : null;
         if (message != null) {
-            act.tell(message);
+            act.sendToPeers(message);
         }
     }
 
     @Override
-    public void peer(long now, int from, byte[] message) {
-        if (halls.gate.heard(now, from, message)) {
+    public void peerMessage(long now, int from, byte[] message) {
+        if (halls.gate.receive(now, from, message)) {
             return;
         }
         peers.heard(now, from, message).forEach(w -> fleet.price(now, w));
     }
 
     @Override
-    public void timer(long now, String token) {
+    public void timerFired(long now, String token) {
         if (token.equals("refresh")) {
             refresh(now);
             if (set.dispatchers > 1 && ++refreshes % HALLS_REFRESHES == 0) {
                 halls.tell(now);
             }
             tell(now);
-            act.timer((long) (REFRESH_TICKS * set.tick * (0.75 + rng.next() / 2)), "refresh");
+            act.setTimer((long) (REFRESH_TICKS * set.tickMicros * (0.75 + rng.next() / 2)), "refresh");
         } else if (token.equals("ask") && asking) {
             ask();
         }
@@ -413,8 +416,8 @@
     /** Renews what ages; what may run twice does not wait for an attempt without a sign. */
     private void refresh(long now) {
         for (Job job : fleet.refresh(now)) {
-            if (set.secondCopies
-                    && job.jobClass.effect() == RepeatSafety.SAFE
+            if (set.mayHedge
+                    && job.jobClass.safety() == RepeatSafety.SAFE
                     && job.out == 1
                     && !job.answered
                     && retries.take()
@@ -426,37 +429,37 @@
     }
 
     @Override
-    public void rules(long now, HallRules rules) {
+    public void changeHallRules(long now, HallRules rules) {
         halls.rules(now, rules);
         roster.all().forEach(w -> halls.enter(now, w));
         fleet.visitAll();
     }
 
     @Override
-    public List<HallState> halls() {
+    public List<HallState> hallStates() {
         return halls.gate.states();
     }
 
     @Override
-    public void settings(long now, Settings next) {
-        set.take(next);
+    public void changeSettings(long now, Settings next) {
+        set.copyReloadableFrom(next);
         terms();
         fleet.visitAll();
         refresh(now);
     }
 
     @Override
-    public void share(double part) {
-        set.share = part;
+    public void setDispatcherShare(double part) {
+        set.dispatcherShare = part;
     }
 
     @Override
-    public int avoided(long now) {
+    public int countAvoided(long now) {
         return roster.avoided(now);
     }
 
     @Override
-    public double spilled(int hall) {
-        return halls.gate.spilled(hall);
+    public double spilledSlots(int hall) {
+        return halls.gate.spilledSlots(hall);
     }
 }
--- a/src/main/java/barrowshore/module/FleetView.java
+++ b/src/main/java/barrowshore/module/FleetView.java
@@ -150,7 +150,7 @@
         visits = 0;
         List<Job> late = new ArrayList<>();
         peers.expire(now).forEach(w -> price(now, w));
-        missing = set.mayTell ? peers.missing(now) : 1;
+        missing = set.mayMessagePeers ? peers.missing(now) : 1;
         List<Worker> due = due(now);
         double keep = load.keep(now, LOAD_JOBS * mean.work);
         double bound = 0;
@@ -240,7 +240,7 @@
                 : due && others + 0.5 < MAX_ASIDE * roster.ready.length;
         if (w.silent && !was) {
             w.silentAt = now;
-            w.strike(now, Dispatcher.ASIDE * set.connectTimeout, rng);
+            w.strike(now, Dispatcher.ASIDE * set.connectTimeoutMicros, rng);
         }
     }
 
@@ -344,13 +344,13 @@
 
     /** How long an attempt may go without a sign, where notes come at a start and then at intervals. */
     private double patience(Job.Attempt a) {
-        if (!set.tellsStart || set.progressEvery == 0) {
-            return 4 * (a.wait + expected(a) + set.progressEvery);
+        if (!set.notesStart || set.progressMicros == 0) {
+            return 4 * (a.wait + expected(a) + set.progressMicros);
         }
         return SILENT
                 * (a.startedAt > 0
-                        ? set.progressEvery
-                        : a.wait + START * set.connectTimeout + (a.wait > 0 ? set.progressEvery : 0));
+                        ? set.progressMicros
+                        : a.wait + START * set.connectTimeoutMicros + (a.wait > 0 ? set.progressMicros : 0));
     }
 
     /** When the worker has to be looked at again: something of its jobs is due then, or grows with time. */
@@ -358,7 +358,7 @@
         if (w.silent) {
             return now;
         }
-        double next = w.warmth < 1 ? now + set.cold / LOOKS_WHILE_COLD : Long.MAX_VALUE;
+        double next = w.warmth < 1 ? now + set.warmUpMicros / LOOKS_WHILE_COLD : Long.MAX_VALUE;
         if (w.downUntil > now) {
             next = Math.min(next, w.downUntil);
         }
--- a/src/main/java/barrowshore/module/HallSide.java
+++ b/src/main/java/barrowshore/module/HallSide.java
@@ -27,60 +27,60 @@
         this.set = set;
         this.act = act;
         this.rng = rng;
-        gate = set.halls == null ? HallPolicy.OFF : new Halls(set.halls, set.dispatchers, set.me, rng::next);
+        gate = set.halls == null ? HallPolicy.OFF : new Halls(set.halls, set.dispatchers, set.ownIndex, rng::next);
         this.mean = mean;
     }
 
     /** What a job pays for the room it takes, against the usual job. */
     private double standing(Job job) {
-        return Math.min(1, mean.value(job)) * (job.overQuota ? set.overShareWorth : 1);
+        return Math.min(1, mean.value(job)) * (job.overQuota ? set.overQuotaWorth : 1);
     }
 
     /** New rules: halls keep their states where there were rules before. */
     void rules(long now, HallRules rules) {
         if (rules == null) {
             gate = HallPolicy.OFF;
-        } else if (!gate.rules(rules)) {
-            gate = new Halls(rules, set.dispatchers, set.me, rng::next);
+        } else if (!gate.changeRules(rules)) {
+            gate = new Halls(rules, set.dispatchers, set.ownIndex, rng::next);
         }
     }
 
     /** What the list says of a worker. */
     void enter(long now, Worker w) {
-        w.place = gate.place(w.id);
-        w.hall = gate != HallPolicy.OFF ? gate.hall(w.zone) : w.zone == set.zone ? 0 : 1;
-        gate.listed(now, w.place, w.zone, w.listed, w.draining, w.startedAt);
+        w.place = gate.serverFor(w.id);
+        w.hall = gate != HallPolicy.OFF ? gate.hallOfZone(w.zone) : w.zone == set.zone ? 0 : 1;
+        gate.updateListing(now, w.place, w.zone, w.listed, w.draining, w.startedAt);
     }
 
-    /** What a job pays in each hall, as {@link HallPolicy#weigh} has it; without halls: here, and elsewhere. */
+    /** What a job pays in each hall, as {@link HallPolicy#priceHalls} has it; without halls: here, and elsewhere. */
     double[] weigh(long now, Job job, int tier) {
         return gate == HallPolicy.OFF
                 ? PLAIN
-                : gate.weigh(now, job.slots, standing(job), job.jobClass.effect() == RepeatSafety.SAFE, tier);
+                : gate.priceHalls(now, job.slots, standing(job), job.jobClass.safety() == RepeatSafety.SAFE, tier);
     }
 
     boolean takes(Worker w) {
-        return gate.takes(w.place);
+        return gate.mayUse(w.place);
     }
 
     boolean open(Worker w) {
-        return gate.open(w.place);
+        return gate.isHallInUse(w.place);
     }
 
     void sent(long now, Job.Attempt a, double usualAim) {
-        gate.sent(now, a.worker.place, a.job.slots, a.wait / usualAim);
+        gate.recordSent(now, a.worker.place, a.job.slots, a.wait / usualAim);
     }
 
     /** What the end of an attempt says of its worker; pushed: it may have been put out for a more urgent one. */
     void ended(long now, Job.Attempt a, Status status, boolean pushed) {
         HallServer place = a.worker.place;
-        gate.ended(now, place, a.sentAt, a.job.slots, status == Status.OK);
+        gate.recordEnd(now, place, a.sentAt, a.job.slots, status == Status.OK);
         if (status == Status.ERROR || status == Status.FULL) {
-            gate.sign(now, place);
+            gate.recordSignOfLife(now, place);
         } else if (status == Status.CONNECT_FAILED) {
-            gate.against(now, place, HallServer.Fault.UNREACHABLE);
+            gate.recordFault(now, place, HallServer.Fault.UNREACHABLE);
         } else if (status == Status.RESET && !pushed) {
-            gate.against(now, place, HallServer.Fault.RESET);
+            gate.recordFault(now, place, HallServer.Fault.RESET);
         }
     }
 
@@ -90,41 +90,41 @@
      */
     void see(long now, Worker w, double speed, boolean silent) {
         double slots = w.rating > 1 ? Math.min(w.rating, w.slots) : w.slots;
-        gate.see(now, w.place, slots * w.warmth, speed, silent);
+        gate.updateCapacity(now, w.place, slots * w.warmth, speed, silent);
     }
 
     void refused(long now, Job job) {
-        gate.refused(now, standing(job));
+        gate.recordRefusal(now, standing(job));
     }
 
     void probed(long now, Worker w, Status status) {
-        if (status == Status.OK && gate.troubled(w.place)) {
+        if (status == Status.OK && gate.isHallTroubled(w.place)) {
             w.heardAt = now; // it answers again: one job may find out the rest
             w.downUntil = 0;
         }
         if (status != Status.NOT_SENT) {
-            gate.probed(now, w.place, status == Status.OK || status == Status.ERROR);
+            gate.recordProbe(now, w.place, status == Status.OK || status == Status.ERROR);
         }
     }
 
     /** Whether the job may be tried again, as far as its last worker's hall is concerned. */
     boolean mayRepeat(long now, Job job) {
-        return gate.mayRepeat(now, job.attempts.get(job.attempts.size() - 1).worker.place, standing(job));
+        return gate.mayRetry(now, job.attempts.get(job.attempts.size() - 1).worker.place, standing(job));
     }
 
     void turn(long now) {
-        List<String> news = gate.turn(now, set.mayProbe);
+        List<String> news = gate.updateStates(now, set.mayProbe);
         news.forEach(act::log);
-        gate.probes().forEach(act::probe);
+        gate.serversToProbe().forEach(act::probe);
         if (!news.isEmpty()) {
             tell(now);
         }
     }
 
     void tell(long now) {
-        byte[] message = set.mayTell ? gate.message(now) : null;
+        byte[] message = set.mayMessagePeers ? gate.nextMessage(now) : null;
         if (message != null) {
-            act.tell(message);
+            act.sendToPeers(message);
         }
     }
 }
--- a/src/main/java/barrowshore/module/Job.java
+++ b/src/main/java/barrowshore/module/Job.java
@@ -63,9 +63,9 @@
         this.type = r.jobClass();
         this.jobClass = jobClass;
         this.slots = r.slots();
-        this.hint = r.hint();
+        this.hint = r.workHintMicros();
         this.overQuota = overQuota;
         this.arrivedAt = now;
-        this.answerBy = now + r.left();
+        this.answerBy = now + r.timeLeftMicros();
     }
 }
--- a/src/main/java/barrowshore/module/Peers.java
+++ b/src/main/java/barrowshore/module/Peers.java
@@ -8,7 +8,7 @@
 
 /**
  * What the dispatchers tell one another: the slots that each has in flight at each worker. It puts workers into the names
- * of the exchange, and keeps in each {@link Worker#told} the sum of what the others have told. It decides nothing.
+ * of the exchange, and keeps in each {@link Worker#lineReceived} the sum of what the others have told. It decides nothing.
  */
 final class Peers implements PeerSlots.SlotSums {
     /** Microseconds after which something is told though nothing has changed; and without a word, a peer is silent. */
@@ -35,26 +35,26 @@
     /** Our slots at the worker may have changed; at one that wants nothing new they concern nobody. */
     void changed(Worker w) {
         int held = w.listed ? (int) Math.ceil(w.own + w.left) : 0;
-        sender.add(w.name, held - w.view.published);
+        sender.addSlots(w.name, held - w.view.published);
         w.view.published = held;
     }
 
     /** What is to be told to all others now; null if nothing is. jobMicros: how long a job usually runs. */
     byte[] due(long now, double jobMicros) {
-        return sender.due(now, roster.ready.length, jobMicros);
+        return sender.nextDatagram(now, roster.ready.length, jobMicros);
     }
 
     /** Enters what a peer has told; what cannot be read is dropped. Returns the workers that it is about. */
     List<Worker> heard(long now, int from, byte[] message) {
         long before = told.visits();
-        boolean entered = told.heard(now, from, message);
-        effort.heard(entered, told.visits() - before, told.malformed(), told.unknownWorkers());
+        boolean entered = told.receive(now, from, message);
+        effort.heard(entered, told.visits() - before, told.malformedDatagrams(), told.unknownWorkers());
         return takeTouched();
     }
 
     /** Takes back what silent peers have told; returns the workers that it was about. */
     List<Worker> expire(long now) {
-        told.expire(now);
+        told.expireSilentPeers(now);
         return takeTouched();
     }
 
@@ -65,7 +65,7 @@
 
     /** Figures held: of peers, and our own. */
     int figures() {
-        return told.figures() + sender.names();
+        return told.figureCount() + sender.nameCount();
     }
 
     @Override
--- a/src/main/java/barrowshore/module/Traffic.java
+++ b/src/main/java/barrowshore/module/Traffic.java
@@ -24,9 +24,9 @@
         classWork = new double[set.classes.length];
         for (int c = 0; c < classWork.length; c++) {
             JobClass type = set.classes[c];
-            classWork[c] = Math.max(set.tick, type.aim());
+            classWork[c] = Math.max(set.tickMicros, type.targetMicros());
             work += classWork[c] / classWork.length;
-            aim += type.aim() * (1 + type.stretch()) / classWork.length;
+            aim += type.targetMicros() * (1 + type.targetStretch()) / classWork.length;
             density += density(c, 1) / classWork.length;
         }
         size = work;
@@ -41,12 +41,12 @@
         arrivals++;
         guessed += Math.max(weight, 1 / arrivals) * ((hint && guesses[job.type].good() ? 1 : 0) - guessed);
         hinted = guessed > 0.5;
-        double jobSize = job.work * job.slots, stretch = job.jobClass.stretch();
+        double jobSize = job.work * job.slots, stretch = job.jobClass.targetStretch();
         work += weight * (job.work - work);
         size += weight * (jobSize - size);
         square += weight * (jobSize * jobSize - square);
         running += weight * (1 / (1 + stretch) - running);
-        aim += weight * (job.jobClass.aim() + stretch * classWork[job.type] - aim);
+        aim += weight * (job.jobClass.targetMicros() + stretch * classWork[job.type] - aim);
         density += Math.max(weight, 1 / (5 + arrivals)) * job.slots * (job.density - density);
     }
 
@@ -59,7 +59,7 @@
     }
 
     private double density(int type, double slots) {
-        return Math.max(1e-9, set.classes[type].worth()) / slots / (set.worthByWork ? 1 : classWork[type]);
+        return Math.max(1e-9, set.classes[type].worth()) / slots / (set.worthPerWork ? 1 : classWork[type]);
     }
 
     /** What a job weighs in a budget: where its work is no more than a guess, no less than E[w^2]/E[w]. */
@@ -90,7 +90,7 @@
         int known = classWork.length;
         classWork = Arrays.copyOf(classWork, set.classes.length);
         for (int c = known; c < classWork.length; c++) {
-            classWork[c] = Math.max(set.tick, set.classes[c].aim());
+            classWork[c] = Math.max(set.tickMicros, set.classes[c].targetMicros());
         }
         guesses = Arrays.copyOf(guesses, set.classes.length);
         Arrays.setAll(guesses, c -> guesses[c] != null ? guesses[c] : new Guess());
--- a/src/main/java/barrowshore/module/Worker.java
+++ b/src/main/java/barrowshore/module/Worker.java
@@ -62,7 +62,7 @@
 
     /** Evidence of speed: a job's expected work at speed 1, and how long it ran. */
     void ran(long now, double expected, double took, Settings set) {
-        seen.fade(now, MEMORY * set.cold);
+        seen.fade(now, MEMORY * set.warmUpMicros);
         seen.work += expected;
         seen.took += took;
     }
@@ -84,7 +84,7 @@
 
     /** The share of jobs that fail here, a decaying estimate. */
     double errorShare(long now, Settings set) {
-        seen.fade(now, MEMORY * set.cold);
+        seen.fade(now, MEMORY * set.warmUpMicros);
         return (seen.errors + PRIOR_ERRORS) / (seen.ends + 1);
     }
 
@@ -110,14 +110,19 @@
 
     /** The share of its capacity that it surely has: it grows no slower than evenly. */
     double warmth(long now, Settings set) {
-        double share = startedAt > 0 ? Math.max(0, (now - startedAt) / (double) set.cold) : 1;
+        double share = startedAt > 0 ? Math.max(0, (now - startedAt) / (double) set.warmUpMicros) : 1;
         return share >= 1 ? 1 : set.startCapacity + (1 - set.startCapacity) * share;
     }
 
     /** Guards against pushing a cold worker over: a bound for all dispatchers together in any window. */
     boolean coldMay(long now, double usualSpeed, double size, Settings set, ColdWorkerBudget.Terms terms) {
-        double whole = set.share * set.fallMultiple * warmth(now, set) * slots * usualSpeed * set.fall;
-        return cold.may(now, terms, id.hashCode(), whole, size);
+        double whole = set.dispatcherShare
+                * set.overloadMultiple
+                * warmth(now, set)
+                * slots
+                * usualSpeed
+                * set.overloadWindowMicros;
+        return cold.allows(now, terms, id.hashCode(), whole, size);
     }
 
     /** Down: each strike doubles the time aside, jittered so that dispatchers do not return in unison. */
--- a/src/main/java/barrowshore/net/ConnectionManager.java
+++ b/src/main/java/barrowshore/net/ConnectionManager.java
@@ -35,7 +35,7 @@
     /** Makes the connection that speaks on a fresh end point. */
     public interface DialHandler extends Function<EndPoint, Connection> {
         /** The dial has failed; called instead of {@link #apply}. */
-        void failed(Throwable cause);
+        void onDialFailed(Throwable cause);
     }
 
     /** How often, and how many milliseconds apart, is looked whether those that wait for a descriptor can be taken in. */
@@ -97,7 +97,7 @@
         } catch (IOException | RuntimeException e) {
             IO.close(channel);
             budget.release();
-            opener.failed(e);
+            opener.onDialFailed(e);
         }
         return true;
     }
@@ -136,7 +136,7 @@
      * socket is taken from the selector first, since one that a selector still knows is closed only later; then, in one
      * go, all that wait are taken in and it is closed. The message runs after that.
      */
-    public void endListening(ServerSocketChannel server, Runnable ended) {
+    public void stopListening(ServerSocketChannel server, Runnable ended) {
         selector.submit(keys -> {
             SelectionKey key = server.keyFor(keys);
             if (key != null) {
@@ -168,7 +168,7 @@
     }
 
     /** So many descriptors more; less than 0: fewer, those in use as they are given back. */
-    public void grow(int outgoing, int more) {
+    public void addPermits(int outgoing, int more) {
         budget.grow(outgoing);
         clients.grow(more);
         selector.submit(keys -> resumeAccepting());
@@ -284,7 +284,7 @@
         super.onAcceptFailed(channel, cause, attachment);
         if (attachment instanceof DialHandler opener) {
             afterRelease(channel, budget::release);
-            opener.failed(cause);
+            opener.onDialFailed(cause);
         } else {
             afterRelease(channel, this::clientGone);
         }
@@ -316,7 +316,7 @@
         IO.close(channel);
         if (attachment instanceof DialHandler opener) {
             afterRelease(channel, budget::release);
-            opener.failed(cause);
+            opener.onDialFailed(cause);
         }
     }
 }
--- a/src/main/java/barrowshore/net/HttpLink.java
+++ b/src/main/java/barrowshore/net/HttpLink.java
@@ -70,11 +70,11 @@
     @Override
     public void onOpen() {
         super.onOpen();
-        mailbox.post(this::begin);
+        mailbox.post(this::onConnected);
     }
 
     /** The connection is up. */
-    protected void begin() {
+    protected void onConnected() {
         read();
     }
 
@@ -88,8 +88,8 @@
         mailbox.post(() -> end(cause));
     }
 
-    /** Calls {@link #expired} after so long, unless another limit or none (0) is set before. */
-    protected void limit(long millis) {
+    /** Calls {@link #onTimeLimit} after so long, unless another limit or none (0) is set before. */
+    protected void setTimeLimit(long millis) {
         if (limit != null) {
             limit.cancel();
         }
@@ -98,7 +98,7 @@
                 ? timers.schedule(
                         () -> mailbox.post(() -> {
                             if (number == limits) {
-                                expired();
+                                onTimeLimit();
                             }
                         }),
                         millis,
@@ -107,8 +107,8 @@
     }
 
     /** The limit has run out. */
-    protected void expired() {
-        shut();
+    protected void onTimeLimit() {
+        closeNow();
     }
 
     /** Reads and parses until there is nothing more, or the subclass stops it by {@link #wantsBytes}. */
@@ -116,7 +116,7 @@
         try {
             while (!closed) {
                 if (!discarding && !flooded && BufferUtil.space(in) == 0 && !wantsBytes()) {
-                    flooded = overrun();
+                    flooded = discardsOverflow();
                 }
                 if (discarding || flooded) {
                     discarded += in.remaining();
@@ -165,7 +165,7 @@
      * A whole buffer has come that nobody wants yet. True: it and all that follows is thrown away, and nothing more can be
      * read here; false: the peer is left to wait, and its end is not seen until it is read on.
      */
-    protected boolean overrun() {
+    protected boolean discardsOverflow() {
         return false;
     }
 
@@ -191,10 +191,10 @@
      * Ends our side and lets the peer end its own: closing at once, with bytes unread, would reset the connection and
      * could destroy the answer on its way.
      */
-    protected void finish(long millis) {
+    protected void closeGracefully(long millis) {
         discarding = true;
         discarded = 0;
-        limit(millis);
+        setTimeLimit(millis);
         getEndPoint().shutdownOutput();
         read();
     }
@@ -209,14 +209,14 @@
         return closed;
     }
 
-    public void shut() {
+    public void closeNow() {
         end(null);
     }
 
     private void end(Throwable cause) {
         if (!closed) {
             closed = true;
-            limit(0);
+            setTimeLimit(0);
             getEndPoint().close(cause);
             onEnd(cause);
         }
--- a/src/main/java/barrowshore/node/JobScheduler.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -127,7 +127,7 @@
         outgoing = (int) (usable * OUTGOING);
         incoming = usable - outgoing;
         dialer = new ConnectionManager(
-                pool, timers, outgoing, incoming, config.settings().connectTimeout / 1000, this::accepted);
+                pool, timers, outgoing, incoming, config.settings().connectTimeoutMicros / 1000, this::accepted);
         module = new ModuleActor(
                 clock,
                 pool,
@@ -161,7 +161,7 @@
         if (succession != null && succession.follows()) {
             shared(true);
             if (peers != null) {
-                peers.quiet(true);
+                peers.setQuiet(true);
             }
             module.whenReady(this::openToClients);
         } else {
@@ -193,11 +193,11 @@
                 LOG.log(Level.WARNING, "settings not known here, and not heeded: {0}", String.join(", ", unknown));
             }
         });
-        if (!config.known().unknown().isEmpty()) {
+        if (!config.known().unknownServers().isEmpty()) {
             LOG.log(
                     Level.WARNING,
                     "known servers of an unknown model, left out: {0}",
-                    String.join(", ", config.known().unknown()));
+                    String.join(", ", config.known().unknownServers()));
         }
     }
 
@@ -207,7 +207,7 @@
 
     private void tell(byte[] message) {
         if (peers != null) {
-            peers.tell(message);
+            peers.broadcast(message);
         }
     }
 
@@ -222,7 +222,7 @@
         try {
             listenToClients();
             if (peers != null) {
-                peers.quiet(false);
+                peers.setQuiet(false);
             }
             succession.serving();
         } catch (IOException | RuntimeException e) {
@@ -239,8 +239,8 @@
         if (two != halved) {
             halved = two;
             int sign = two ? -1 : 1, lessOut = outgoing - outgoing * 2 / 5, lessIn = incoming - incoming * 2 / 5;
-            dialer.grow(sign * lessOut, sign * lessIn);
-            clients.most(mostClients(two ? incoming - lessIn : incoming));
+            dialer.addPermits(sign * lessOut, sign * lessIn);
+            clients.setMaxConnections(mostClients(two ? incoming - lessIn : incoming));
             module.share(two ? 0.5 : 1);
         }
     }
@@ -270,14 +270,14 @@
 
     /** The operators' order, by whatever way it came; false: we are ending. */
     private boolean away(boolean away) {
-        ServiceState now = standing.updateAndGet(away ? ServiceState::sendAway : ServiceState::activate);
-        if (!now.ending()) {
+        ServiceState now = standing.updateAndGet(away ? ServiceState::drain : ServiceState::activate);
+        if (!now.isEnding()) {
             LOG.log(Level.INFO, away ? "operators send clients away" : "operators want clients back");
             if (away) {
                 timers.schedule(() -> closeIdle(now, true), SETTLE, TimeUnit.MILLISECONDS);
             }
         }
-        return !now.ending();
+        return !now.isEnding();
     }
 
     private boolean ordered(boolean away) {
@@ -292,7 +292,7 @@
     private final class Door implements OpsDoor.Desk {
         @Override
         public boolean ready() {
-            return module.figures().ready() && open.isDone() && !standing.get().ending();
+            return module.figures().ready() && open.isDone() && !standing.get().isEnding();
         }
 
         @Override
@@ -313,7 +313,7 @@
 
     /** Again and again while clients are to leave: an answer may have been on its way as they were sent. */
     private void closeIdle(ServiceState since, boolean first) {
-        if (standing.get().turn() == since.turn()) {
+        if (standing.get().changeCount() == since.changeCount()) {
             clients.closeIdle(first);
             timers.schedule(() -> closeIdle(since, false), SETTLE, TimeUnit.MILLISECONDS);
         }
@@ -401,16 +401,16 @@
     }
 
     /** Where each hall stands with it, by number; empty where halls are off. */
-    public CompletableFuture<List<HallState>> halls() {
+    public CompletableFuture<List<HallState>> hallStates() {
         CompletableFuture<List<HallState>> told = new CompletableFuture<>();
-        module.look(looked -> told.complete(looked.halls()));
+        module.look(looked -> told.complete(looked.hallStates()));
         return told;
     }
 
     /** Slots that its jobs hold in a hall other than its own. */
-    public CompletableFuture<Double> spilled(int hall) {
+    public CompletableFuture<Double> spilledSlots(int hall) {
         CompletableFuture<Double> told = new CompletableFuture<>();
-        module.look(looked -> told.complete(looked.spilled(hall)));
+        module.look(looked -> told.complete(looked.spilledSlots(hall)));
         return told;
     }
 
@@ -508,10 +508,10 @@
                 LOG.log(Level.WARNING, "operators' settings: servers changed, but is taken over only at a start");
             }
             module.settings(read.settings(), read.classes());
-            clients.terms(read);
+            clients.updateSettings(read);
             config = read;
-            entry.settings(read.grace());
-            entry.move(read.discovery());
+            entry.setGrace(read.grace());
+            entry.setAddress(read.discovery());
             if (!Objects.equals(rules, setup.rules())) {
                 rules = setup.rules();
                 module.rules(rules);
@@ -538,17 +538,17 @@
         };
         standing.updateAndGet(ServiceState::end);
         long deadline = Arrays.stream(config.settings().classes)
-                .mapToLong(c -> c.deadline() / 1000)
+                .mapToLong(c -> c.deadlineMicros() / 1000)
                 .max()
                 .orElse(0);
         long grace = Math.min(LONGEST_GRACE, deadline) + MORE_GRACE;
-        clients.endsIn(grace - LAST_WORD);
+        clients.scheduleEnd(grace - LAST_WORD);
         module.endsIn(grace - LAST_WORD);
         // Guards clients against a gap: schedulers restarted one after the other were once all closed to new
         // connections for 2 s. So the first one's clients go to the others in time, and the last one's stay.
         Consumer<Boolean> release = othersServe -> timers.schedule(
                 () -> {
-                    closeIdle(standing.updateAndGet(ServiceState::letGo), true);
+                    closeIdle(standing.updateAndGet(ServiceState::closeConnections), true);
                     clients.whenEmpty(done);
                     module.whenIdle(done);
                 },
@@ -556,16 +556,16 @@
                 TimeUnit.MILLISECONDS);
         if (followed) {
             // The process after us has our clients and speaks to our peers; what we have taken is ours to answer.
-            dialer.endListening(server, () -> {});
+            dialer.stopListening(server, () -> {});
             if (peers != null) {
-                peers.stopHearing();
+                peers.stopReceiving();
             }
-            standing.updateAndGet(ServiceState::letGo);
+            standing.updateAndGet(ServiceState::closeConnections);
             release.accept(true);
         } else if (peers == null) {
             release.accept(false);
         } else {
-            peers.ending(release);
+            peers.announceEnd(release);
         }
         timers.schedule(done, STAY, TimeUnit.MILLISECONDS);
         return ended;
@@ -580,7 +580,7 @@
         if (listening == null || !listening.isOpen()) {
             ended.countDown();
         } else {
-            dialer.endListening(listening, () -> dialer.whenClientsGone(() -> module.whenIdle(ended::countDown)));
+            dialer.stopListening(listening, () -> dialer.whenClientsGone(() -> module.whenIdle(ended::countDown)));
         }
     }
 
--- a/src/main/java/barrowshore/node/ListKeeper.java
+++ b/src/main/java/barrowshore/node/ListKeeper.java
@@ -50,8 +50,8 @@
         this.timers = timers;
         this.listener = listener;
         this.mailbox = new Mailbox("the list", pool);
-        book.source(DISCOVERY, rules.filesFirst() ? 2 : 1, 0);
-        book.source(FILE, rules.filesFirst() ? 1 : 2, 0);
+        book.addSource(DISCOVERY, rules.filesFirst() ? 2 : 1, 0);
+        book.addSource(FILE, rules.filesFirst() ? 1 : 2, 0);
         this.file = new WatchedFile(
                 rules.file(),
                 rules.mostLost(),
@@ -61,7 +61,7 @@
                 next -> {
                     try {
                         long now = filled ? clock.micros() : 0;
-                        Update update = next.update(names, s -> firstNamed.computeIfAbsent(s.uid(), uid -> now));
+                        Update update = next.toUpdate(names, s -> firstNamed.computeIfAbsent(s.uid(), uid -> now));
                         filled = true;
                         firstNamed.keySet().retainAll(next.servers().keySet());
                         mailbox.post(() -> say(FILE, update, next));
@@ -74,26 +74,26 @@
 
     /** Discovery has told a list or a change of it. */
     void discovered(Update update) {
-        mailbox.post(() -> tell(book.say(clock.micros(), DISCOVERY, update)));
+        mailbox.post(() -> tell(book.apply(clock.micros(), DISCOVERY, update)));
     }
 
     private void say(String source, Update update, OperatorServerList from) {
-        book.grace(source, from.grace());
-        tell(book.say(clock.micros(), source, update));
+        book.setGrace(source, from.grace());
+        tell(book.apply(clock.micros(), source, update));
     }
 
     /** The first word replaces what was known from before; then changes do. */
     private void tell(Update changes) {
         if (!told) {
             told = true;
-            listener.accept(book.whole());
+            listener.accept(book.currentList());
         } else if (!changes.entries().isEmpty()) {
             listener.accept(changes);
         }
-        long next = book.nextTick();
+        long next = book.nextExpiry();
         if (next != Long.MAX_VALUE) {
             timers.schedule(
-                    () -> mailbox.post(() -> tell(book.tick(clock.micros()))),
+                    () -> mailbox.post(() -> tell(book.expireGraces(clock.micros()))),
                     Math.max(1, next - clock.micros()),
                     TimeUnit.MICROSECONDS);
         }
--- a/src/main/java/barrowshore/node/ModuleActor.java
+++ b/src/main/java/barrowshore/node/ModuleActor.java
@@ -93,7 +93,7 @@
         this.mostAttempts = mostAttempts;
         this.tell = tell;
         this.mailbox = new Mailbox("the module", pool);
-        tally.classes(classes);
+        tally.setClasses(classes);
         this.module = newModule.apply(this);
     }
 
@@ -135,8 +135,8 @@
             this.sentAt = sentAt;
             long by = Long.MAX_VALUE;
             for (Attempt earlier : open.attempts) {
-                if (!earlier.neverRan && open.request.window() != JobRequest.ALWAYS) {
-                    by = Math.min(by, earlier.sentAt + open.request.window());
+                if (!earlier.neverRan && open.request.repeatWindowMicros() != JobRequest.NO_REPEAT_LIMIT) {
+                    by = Math.min(by, earlier.sentAt + open.request.repeatWindowMicros());
                 }
             }
             this.beginBy = by;
@@ -148,8 +148,8 @@
         }
 
         @Override
-        public long left() {
-            return open.request.deadline() - clock.micros();
+        public long timeLeftMicros() {
+            return open.request.deadlineMicros() - clock.micros();
         }
 
         @Override
@@ -158,7 +158,7 @@
             // What the actor knows may wait for its turn at the server: an end since counts from the moment it is
             // known.
             boolean awaited = !ended && !open.answered && !open.client.isGone();
-            return awaited && now < beginBy && now < open.request.deadline();
+            return awaited && now < beginBy && now < open.request.deadlineMicros();
         }
 
         @Override
@@ -167,15 +167,15 @@
         }
 
         @Override
-        public void written() {
+        public void requestWritten() {
             mailbox.post(() -> {
-                tally.tried();
+                tally.countAttempt();
                 publish();
             });
         }
 
         @Override
-        public void noted(Note note, double share) {
+        public void noteReceived(Note note, double share) {
             mailbox.post(() -> {
                 if (!ended) {
                     guarded(open, () -> module.note(now(), open.request.id(), number, note, share));
@@ -213,7 +213,7 @@
 
     void update(ServerList.Update update) {
         mailbox.post(() -> {
-            list(update, update.all() ? ListKind.WHOLE : ListKind.CHANGES);
+            list(update, update.full() ? ListKind.WHOLE : ListKind.CHANGES);
             told = true;
             tellIfReady();
             publish();
@@ -224,20 +224,20 @@
     void settings(Settings next, List<String> classes) {
         mailbox.post(() -> {
             mostAttempts = next.maxAttempts;
-            tally.classes(classes);
-            guarded(null, () -> module.settings(now(), next));
+            tally.setClasses(classes);
+            guarded(null, () -> module.changeSettings(now(), next));
             publish();
         });
     }
 
     /** The operators' rules on halls have changed. */
     void rules(HallRules rules) {
-        mailbox.post(() -> guarded(null, () -> module.rules(now(), rules)));
+        mailbox.post(() -> guarded(null, () -> module.changeHallRules(now(), rules)));
     }
 
     /** Which part of what is due to this scheduler is this process's. */
     void share(double part) {
-        mailbox.post(() -> guarded(null, () -> module.share(part)));
+        mailbox.post(() -> guarded(null, () -> module.setDispatcherShare(part)));
     }
 
     /** Shows the module to one who only looks. */
@@ -247,7 +247,7 @@
 
     /** Another scheduler has told us something. */
     void peer(int from, byte[] message) {
-        mailbox.post(() -> guarded(null, () -> module.peer(now(), from, message)));
+        mailbox.post(() -> guarded(null, () -> module.peerMessage(now(), from, message)));
     }
 
     /** The figures as of the last change; may be asked from anywhere. */
@@ -258,15 +258,15 @@
     /** A changed file was taken over, or turned down. */
     void loaded(boolean taken) {
         mailbox.post(() -> {
-            tally.loaded(taken);
+            tally.countReload(taken);
             publish();
         });
     }
 
     @Override
-    public void turnedAway(int jobClass) {
+    public void countTurnedAway(int jobClass) {
         mailbox.post(() -> {
-            tally.ended(jobClass, SchedulerCounters.Outcome.DROPPED);
+            tally.countOutcome(jobClass, SchedulerCounters.Outcome.DROPPED);
             publish();
         });
     }
@@ -281,20 +281,20 @@
 
     private void publish() {
         if (publishing) {
-            figures = tally.figures(told, openRequests, listed.size(), skipped);
+            figures = tally.snapshot(told, openRequests, listed.size(), skipped);
         }
     }
 
     /** What ages without an event, as which servers are avoided, is looked at now and then. */
     private void republish() {
-        guarded(null, () -> skipped = draining.size() + module.avoided(now()));
+        guarded(null, () -> skipped = draining.size() + module.countAvoided(now()));
         publish();
         timers.schedule(() -> mailbox.post(this::republish), PUBLISH_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Answers whether the list has come and the tables are built. */
     @Override
-    public void ready(Consumer<Boolean> asker) {
+    public void askReady(Consumer<Boolean> asker) {
         mailbox.post(() -> asker.accept(told));
     }
 
@@ -328,7 +328,7 @@
      */
     private void lastWord(OpenRequest open) {
         if (!open.answered) {
-            boolean harmless = open.request.window() == JobRequest.ALWAYS
+            boolean harmless = open.request.repeatWindowMicros() == JobRequest.NO_REPEAT_LIMIT
                     || open.attempts.stream().allMatch(a -> a.neverRan);
             answer(open, harmless ? new JobRequest.Rejection(LAST_DELAY) : new JobRequest.Failed(false));
             guarded(open, () -> module.clientGone(now(), open.request.id()));
@@ -346,7 +346,7 @@
     }
 
     @Override
-    public void open(JobRequest request, JobRequest.Client client) {
+    public void submit(JobRequest request, JobRequest.Client client) {
         mailbox.post(() -> {
             if (requests.containsKey(request.id()) || served.contains(request.id())) {
                 client.answer(new JobRequest.IdInUse("the id is in use"));
@@ -358,7 +358,7 @@
             publish();
             long now = now();
             open.timer = timers.schedule(
-                    () -> mailbox.post(() -> expire(open)), request.deadline() - now, TimeUnit.MICROSECONDS);
+                    () -> mailbox.post(() -> expire(open)), request.deadlineMicros() - now, TimeUnit.MICROSECONDS);
             guarded(
                     open,
                     () -> module.request(
@@ -368,8 +368,8 @@
                                     request.jobClass(),
                                     request.tenant(),
                                     request.slots(),
-                                    request.hint(),
-                                    request.deadline() - now)));
+                                    request.workHintMicros(),
+                                    request.deadlineMicros() - now)));
         });
     }
 
@@ -403,11 +403,11 @@
         for (ServerList.Entry e : update.entries()) {
             named.add(e.uid());
             servers.computeIfAbsent(e.uid(), newServer).update(e);
-            members.add(e.member());
+            members.add(e.toMember());
         }
         if (kind != ListKind.CHANGES) {
             listed.stream().filter(uid -> !named.contains(uid)).forEach(uid -> servers.get(uid)
-                    .gone());
+                    .unlisted());
             listed.retainAll(named);
         }
         update.entries().forEach(e -> {
@@ -446,7 +446,7 @@
     private void giveUp(Attempt a, Status status) {
         if (!a.ended) {
             if (a.server != null) {
-                a.server.giveUp(a);
+                a.server.abandon(a);
             }
             conclude(a, status, null, null);
         }
@@ -495,7 +495,7 @@
     private void close(OpenRequest open) {
         open.answered = true;
         // Whether or not the settings let attempts be called off: one that has not begun is not to begin any more.
-        open.attempts.stream().filter(a -> !a.ended && a.server != null).forEach(a -> a.server.withdraw(a));
+        open.attempts.stream().filter(a -> !a.ended && a.server != null).forEach(a -> a.server.cancelIfUnsent(a));
         openRequests--;
         open.timer.cancel();
         publish();
@@ -503,7 +503,7 @@
 
     private void answer(OpenRequest open, JobRequest.Answer answer) {
         if (!open.answered) {
-            tally.ended(
+            tally.countOutcome(
                     open.request.jobClass(),
                     answer instanceof JobRequest.Served
                             ? SchedulerCounters.Outcome.PASSED
@@ -595,20 +595,20 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void sendToPeers(byte[] message) {
         tell.accept(message);
     }
 
     @Override
-    public void timer(long delay, String token) {
+    public void setTimer(long delay, String token) {
         timers.schedule(
-                () -> mailbox.post(() -> guarded(null, () -> module.timer(now(), token))),
+                () -> mailbox.post(() -> guarded(null, () -> module.timerFired(now(), token))),
                 Math.max(1, delay),
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void watch() {
+    public void watchList() {
         // The service discovery's watch is open from the start and stays so.
     }
 
--- a/src/main/java/barrowshore/node/Succession.java
+++ b/src/main/java/barrowshore/node/Succession.java
@@ -37,12 +37,12 @@
     Succession(Path file, Executor pool, Host host) {
         this.host = host;
         this.twin = new UpgradeLink(file, pool, this);
-        this.beforeThere = twin.found();
+        this.beforeThere = twin.foundPredecessor();
     }
 
     /** Whether this process follows another that is still there. */
     boolean follows() {
-        return twin.found();
+        return twin.foundPredecessor();
     }
 
     void start() {
@@ -51,27 +51,27 @@
 
     /** We listen to clients from now on. */
     void serving() {
-        twin.tell(true, SERVING);
+        twin.send(true, SERVING);
     }
 
     /** The operators' order came by us. */
     void ordered(boolean away) {
-        twin.tell(true, away ? AWAY : BACK);
-        twin.tell(false, away ? AWAY : BACK);
+        twin.send(true, away ? AWAY : BACK);
+        twin.send(false, away ? AWAY : BACK);
     }
 
     @Override
-    public void joined() {
+    public void successorConnected() {
         LOG.log(Level.INFO, "a new version has come up beside this one");
         afterThere = true;
         host.shared(true);
-        if (!host.standing().welcomes()) {
-            twin.tell(false, AWAY);
+        if (!host.standing().acceptsClients()) {
+            twin.send(false, AWAY);
         }
     }
 
     @Override
-    public void told(boolean before, String line) {
+    public void lineReceived(boolean before, String line) {
         switch (line.split(" ", 2)[0]) {
             case AWAY -> host.follow(true);
             case BACK -> host.follow(false);
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void left(boolean before) {
+    public void linkClosed(boolean before) {
         LOG.log(
                 Level.INFO,
                 before ? "the version before this one has ended" : "the new version beside this one has ended");
--- a/src/main/java/barrowshore/ops/OpsDoor.java
+++ b/src/main/java/barrowshore/ops/OpsDoor.java
@@ -110,7 +110,7 @@
         }
         return switch (path) {
             case "/v1/readyz" -> desk.ready() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
-            case "/v1/metrics" -> new Answer(200, desk.figures().lines());
+            case "/v1/metrics" -> new Answer(200, desk.figures().metricLines());
             case "/v1/scheduler/drain" -> verb(desk.sendAway(), "clients are sent away\n");
             default -> verb(desk.activate(), "back to work\n");
         };
@@ -146,8 +146,8 @@
         }
 
         @Override
-        protected void begin() {
-            limit(WHOLE);
+        protected void onConnected() {
+            setTimeLimit(WHOLE);
             opened(this);
             read();
         }
@@ -155,7 +155,7 @@
         private void drop() {
             mailbox.post(() -> {
                 if (!answered) {
-                    shut();
+                    closeNow();
                 }
             });
         }
@@ -198,7 +198,7 @@
                 return;
             }
             answered = true;
-            limit(UNREAD);
+            setTimeLimit(UNREAD);
             HttpFields.Mutable fields = HttpFields.build()
                     .add(HttpHeader.CONTENT_TYPE, "text/plain")
                     .add(HttpHeader.CONNECTION, "close");
@@ -209,7 +209,7 @@
             write(
                     new MetaData.Response(answer.status(), null, HttpVersion.HTTP_1_1, fields, text.length),
                     text,
-                    () -> mailbox.post(() -> finish(LINGER)));
+                    () -> mailbox.post(() -> closeGracefully(LINGER)));
         }
 
         @Override
--- a/src/main/java/barrowshore/peer/PeerMessenger.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -71,7 +71,7 @@
     }
 
     /** Tells all peers; what cannot be sent is lost, as it may be on its way. */
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         if (message.length > MOST) {
             LOG.log(Level.ERROR, "a message of {0} bytes to the peers is not sent", message.length);
             return;
@@ -89,14 +89,14 @@
     }
 
     /** Whether another process speaks for us: two at once would take back one another's figures. */
-    public void quiet(boolean now) {
+    public void setQuiet(boolean now) {
         mailbox.post(() -> quiet = now);
     }
 
     /** Tells the others that we are ending, and the asker whether one of them can take our clients. */
-    public void ending(Consumer<Boolean> othersServe) {
+    public void announceEnd(Consumer<Boolean> othersServe) {
         for (int k = 0; k < TOLD; k++) {
-            tell(ENDING);
+            broadcast(ENDING);
         }
         mailbox.post(() -> {
             long now = clock.micros();
@@ -137,8 +137,8 @@
     }
 
     /** Another process of ours hears them from now on, and speaks for us. */
-    public void stopHearing() {
-        quiet(true);
+    public void stopReceiving() {
+        setQuiet(true);
         mailbox.post(() -> {
             try {
                 channel.close();
--- a/src/main/java/barrowshore/rivals/Rival.java
+++ b/src/main/java/barrowshore/rivals/Rival.java
@@ -88,15 +88,15 @@
 
     @Override
     public void start(long now) {
-        if (set.askForList) {
-            act.watch();
+        if (set.pollsList) {
+            act.watchList();
         }
     }
 
     @Override
     public void list(long now, ListKind kind, List<Member> entries) {
         if (kind == ListKind.FAILED) {
-            act.timer((long) (set.askEvery / 40.0 * (0.5 + chance.getAsDouble())), "ask");
+            act.setTimer((long) (set.listPollMicros / 40.0 * (0.5 + chance.getAsDouble())), "ask");
             return;
         }
         if (kind != ListKind.CHANGES) {
@@ -109,10 +109,10 @@
 
     @Override
     public void request(long now, Request request) {
-        Open job = new Open(request, set.classes[request.jobClass()], now + request.left());
+        Open job = new Open(request, set.classes[request.jobClass()], now + request.timeLeftMicros());
         jobs.put(request.id(), job);
         dispatch(now, job);
-        if (set.mayProbe && set.reports == ReportSource.PROBES && rule == Rule.TWO_CHOICES && !workers.isEmpty()) {
+        if (set.mayProbe && set.reportSource == ReportSource.PROBES && rule == Rule.TWO_CHOICES && !workers.isEmpty()) {
             List<Known> all = new ArrayList<>(workers.values());
             Known w = all.get(probeNext++ % all.size());
             if (ready(w) && warmth(now, w) >= 1) {
@@ -127,7 +127,7 @@
 
     private double warmth(long now, Known w) {
         long since = w.member.startedAt();
-        double share = since > 0 ? Math.max(0, (now - since) / (double) set.cold) : 1;
+        double share = since > 0 ? Math.max(0, (now - since) / (double) set.warmUpMicros) : 1;
         return share >= 1 ? 1 : set.startCapacity + (1 - set.startCapacity) * share;
     }
 
@@ -204,8 +204,9 @@
                         case ZONE -> s.worker.member.zone() == w.member.zone();
                         case CELL -> s.worker.member.cell() == w.member.cell();
                     };
-            if (job.type.effect() == RepeatSafety.UNSAFE
-                    || job.type.effect() == RepeatSafety.KEYED && (!group || now - s.at >= job.type.repeatWindow())) {
+            if (job.type.safety() == RepeatSafety.UNSAFE
+                    || job.type.safety() == RepeatSafety.KEYED
+                            && (!group || now - s.at >= job.type.repeatWindowMicros())) {
                 return false;
             }
         }
@@ -214,11 +215,11 @@
 
     private void answer(Open job) {
         jobs.remove(job.request.id());
-        boolean harmless = job.type.effect() == RepeatSafety.SAFE
-                || job.type.effect() == RepeatSafety.KEYED && job.type.scope() == DedupScope.ALL
+        boolean harmless = job.type.safety() == RepeatSafety.SAFE
+                || job.type.safety() == RepeatSafety.KEYED && job.type.scope() == DedupScope.ALL
                 || !job.neverRan.contains(false);
         if (harmless) {
-            act.refuse(job.request.id(), Math.min(set.maxRetryAfter, (long) (1e5 * (1 + chance.getAsDouble()))));
+            act.refuse(job.request.id(), Math.min(set.maxRetryAfterMicros, (long) (1e5 * (1 + chance.getAsDouble()))));
         } else {
             act.fail(job.request.id());
         }
@@ -238,7 +239,7 @@
         if (status == Status.OK) {
             w.response += (w.response == 0 ? 1 : LEARN) * (latency - w.response);
         } else if (status == Status.CONNECT_FAILED || status == Status.TIMEOUT) {
-            w.downUntil = now + (long) (ASIDE * set.connectTimeout * (0.5 + chance.getAsDouble()));
+            w.downUntil = now + (long) (ASIDE * set.connectTimeoutMicros * (0.5 + chance.getAsDouble()));
         }
         if (closed) {
             jobs.remove(id);
@@ -279,12 +280,12 @@
     }
 
     @Override
-    public void peer(long now, int from, byte[] message) {}
+    public void peerMessage(long now, int from, byte[] message) {}
 
     @Override
-    public void timer(long now, String token) {
+    public void timerFired(long now, String token) {
         if (token.equals("ask")) {
-            act.watch();
+            act.watchList();
         }
     }
 }
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -63,7 +63,7 @@
         JobRequest request();
 
         /** How long the scheduler will wait, in microseconds from now. */
-        long left();
+        long timeLeftMicros();
 
         /**
          * Whether its first byte may still go: somebody waits for it, and its time is not up, nor that in which a repeat is
@@ -75,9 +75,9 @@
         void checkClient(Runnable then);
 
         /** Its last byte has been written; called by the writer, so it may only post. */
-        void written();
+        void requestWritten();
 
-        void noted(Note note, double share);
+        void noteReceived(Note note, double share);
 
         void ended(Status status, Load load, byte[] result);
     }
@@ -126,7 +126,7 @@
     }
 
     /** The service discovery no longer lists it. */
-    public void gone() {
+    public void unlisted() {
         mailbox.post(() -> {
             state = ServerList.State.GONE;
             retire();
@@ -137,7 +137,7 @@
     private void retire() {
         links.forEach(link -> link.retired = true);
         while (!idle.isEmpty()) {
-            idle.poll().shut();
+            idle.poll().closeNow();
         }
     }
 
@@ -150,20 +150,20 @@
     }
 
     /** The attempt is no longer waited for; its end, if still to come, is of no interest. */
-    public void giveUp(Attempt attempt) {
+    public void abandon(Attempt attempt) {
         mailbox.post(() -> {
             Work work = works.remove(attempt);
             if (work != null) {
                 work.over = true;
                 if (work.link != null) {
-                    work.link.shut();
+                    work.link.closeNow();
                 }
             }
         });
     }
 
     /** Nobody waits for the attempt any more: if its first byte has not gone, it does not go. */
-    public void withdraw(Attempt attempt) {
+    public void cancelIfUnsent(Attempt attempt) {
         mailbox.post(() -> {
             Work work = works.get(attempt);
             if (work != null && work.link == null) {
@@ -180,7 +180,7 @@
                         if (!work.over) {
                             work.end(Status.TIMEOUT, null, null);
                             if (work.link != null) {
-                                work.link.shut();
+                                work.link.closeNow();
                             }
                         }
                     }),
@@ -214,7 +214,7 @@
             }
 
             @Override
-            public void failed(Throwable cause) {
+            public void onDialFailed(Throwable cause) {
                 mailbox.post(() -> {
                     dialing--;
                     work.end(Status.CONNECT_FAILED, null, null);
@@ -306,7 +306,7 @@
         }
 
         @Override
-        protected void begin() {
+        protected void onConnected() {
             dialing--;
             links.add(this);
             Work first = work;
@@ -317,7 +317,7 @@
         /** The connection is the work's, whose client is asked after once more: its turn may have been long in coming. */
         void reserve(Work next) {
             reserved = next;
-            limit(0);
+            setTimeLimit(0);
             if (next.attempt == null) {
                 begin(next);
             } else {
@@ -335,7 +335,7 @@
                 next.end(Status.NOT_SENT, null, null); // our reason: it says nothing of the server
                 rest(); // the next attempt can have it
             } else if (kept && (retired || brokenWhileIdle())) {
-                shut();
+                closeNow();
                 start(next);
             } else {
                 carry(next);
@@ -352,14 +352,14 @@
 
         private void rest() {
             if (retired || state != ServerList.State.READY || hasUnread()) {
-                shut();
+                closeNow();
                 return;
             }
             kept = true;
-            limit(retireAfter);
+            setTimeLimit(retireAfter);
             idle.addLast(this);
             if (idle.size() > MOST_IDLE) {
-                idle.pollFirst().shut();
+                idle.pollFirst().closeNow();
             }
         }
 
@@ -375,7 +375,7 @@
             persistent = true;
             linesRead = 0;
             bytesRead = 0;
-            limit(0);
+            setTimeLimit(0);
             HttpFields.Mutable fields =
                     HttpFields.build().add(HttpHeader.HOST, address.getHostString() + ":" + address.getPort());
             if (attempt == null) {
@@ -387,7 +387,7 @@
             }
             JobRequest request = attempt.request();
             fields.add("X-Request-ID", request.id());
-            fields.add("X-Timeout-Ms", String.valueOf(Math.max(1, attempt.left() / 1000)));
+            fields.add("X-Timeout-Ms", String.valueOf(Math.max(1, attempt.timeLeftMicros() / 1000)));
             if (request.key() != null) {
                 fields.add("Idempotency-Key", request.key());
             }
@@ -401,7 +401,7 @@
                     request.body(),
                     () -> {
                         next.written = true;
-                        attempt.written();
+                        attempt.requestWritten();
                     });
             next.partly = !next.written && !hasWriteFailed();
         }
@@ -414,7 +414,7 @@
         @Override
         protected void read() {
             if (work == null && !isClosed() && brokenWhileIdle()) {
-                shut(); // bytes or an end where nothing was asked: notice it at once
+                closeNow(); // bytes or an end where nothing was asked: notice it at once
                 return;
             }
             super.read();
@@ -448,7 +448,7 @@
                 if (work.attempt != null && !neverRan()) {
                     last(Status.ERROR, load, null); // its body, which may never end, says nothing more
                 } else {
-                    limit(TAIL);
+                    setTimeLimit(TAIL);
                 }
             }
             return false;
@@ -461,7 +461,7 @@
         private boolean neverRan() {
             return notProcessed
                     && (status == 503 || status == 504)
-                    && (!used || work.attempt.request().window() == JobRequest.ALWAYS);
+                    && (!used || work.attempt.request().repeatWindowMicros() == JobRequest.NO_REPEAT_LIMIT);
         }
 
         @Override
@@ -494,8 +494,8 @@
             }
             Load told = load(map.get("load"));
             switch (String.valueOf(map.get("state"))) {
-                case "started" -> work.attempt.noted(Note.STARTED, 0);
-                case "running" -> work.attempt.noted(
+                case "started" -> work.attempt.noteReceived(Note.STARTED, 0);
+                case "running" -> work.attempt.noteReceived(
                         Note.PROGRESS, map.get("share") instanceof Number n ? n.doubleValue() : 0);
                 case "done" -> last(
                         Status.OK, told, String.valueOf(map.get("result")).getBytes(StandardCharsets.UTF_8));
@@ -508,7 +508,7 @@
 
         private void last(Status end, Load told, byte[] result) {
             work.end(end, told, result);
-            limit(TAIL);
+            setTimeLimit(TAIL);
         }
 
         @Override
@@ -536,7 +536,7 @@
             if (reusable) {
                 rest();
             } else {
-                shut();
+                closeNow();
             }
             return true;
         }
--- a/src/main/java/barrowshore/servers/ServiceDiscovery.java
+++ b/src/main/java/barrowshore/servers/ServiceDiscovery.java
@@ -136,7 +136,7 @@
         this.startedWithList = !known.entries().isEmpty();
         this.known = startedWithList ? known : null;
         this.whole = this.known != null;
-        this.rev = known.rev();
+        this.rev = known.revision();
         this.silent = silent;
         this.dialer = dialer;
         this.timers = timers;
@@ -154,7 +154,7 @@
     }
 
     /** Settings have changed; grace as at the start. */
-    public void settings(long grace) {
+    public void setGrace(long grace) {
         mailbox.post(() -> keepWithin(grace));
     }
 
@@ -199,7 +199,7 @@
      * Discovery is elsewhere from now on. The former watch is heard until the new address has told its list, which is
      * another history: it is taken whole, since a version of the one says nothing about the other.
      */
-    public void move(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         mailbox.post(() -> {
             if (!to.equals(address)) {
                 address = to;
@@ -228,7 +228,7 @@
             }
 
             @Override
-            public void failed(Throwable cause) {
+            public void onDialFailed(Throwable cause) {
                 mailbox.post(() -> dialFailed(number));
             }
         });
@@ -297,10 +297,10 @@
         }
 
         @Override
-        protected void begin() {
+        protected void onConnected() {
             if (of != life || !dialing || number != dials) {
                 abandoned = true;
-                shut(); // moved on, or given up, while it came up
+                closeNow(); // moved on, or given up, while it came up
                 return;
             }
             dialing = false;
@@ -315,7 +315,7 @@
 
         /** There is a sign of life from discovery. */
         private void sign() {
-            limit(listing ? answer : SILENCE);
+            setTimeLimit(listing ? answer : SILENCE);
         }
 
         /** A list that keeps coming, but never ends. */
@@ -323,7 +323,7 @@
             if (listing && number == asked) {
                 read();
                 if (listing && number == asked) {
-                    shut();
+                    closeNow();
                 }
             }
         }
@@ -348,27 +348,27 @@
 
         /** What has come by now is still read. */
         @Override
-        protected void expired() {
+        protected void onTimeLimit() {
             int before = limits;
             read();
             if (limits == before) {
                 if (unanswered == this) {
                     unheardCalls++;
                 }
-                shut();
+                closeNow();
             }
         }
 
         @Override
-        protected void limit(long millis) {
+        protected void setTimeLimit(long millis) {
             limits++;
-            super.limit(millis);
+            super.setTimeLimit(millis);
         }
 
         private void ask() {
             listing = !whole;
             unanswered = this;
-            limit(answerLimit());
+            setTimeLimit(answerLimit());
             int number = ++asked;
             if (listing) {
                 timers.schedule(() -> mailbox.post(() -> endListing(number)), LONGEST_LIST, TimeUnit.MILLISECONDS);
@@ -421,7 +421,7 @@
         @Override
         public boolean headerComplete() {
             if (refused) {
-                mailbox.post(this::shut);
+                mailbox.post(this::closeNow);
             }
             return false;
         }
@@ -452,28 +452,28 @@
                 return;
             }
             try {
-                Update update = ServerList.read((Map<?, ?>) Json.parse(object), names);
-                if (!update.unknown().isEmpty()) {
+                Update update = ServerList.parse((Map<?, ?>) Json.parse(object), names);
+                if (!update.unknownServers().isEmpty()) {
                     LOG.log(
                             Level.WARNING,
                             "servers of an unknown model, left out: {0}",
-                            String.join(", ", update.unknown()));
+                            String.join(", ", update.unknownServers()));
                 }
-                if (known != null && of == life && !update.all()) {
-                    if (update.rev() < rev) {
+                if (known != null && of == life && !update.full()) {
+                    if (update.revision() < rev) {
                         // Another history than the known list's: its changes say nothing.
                         whole = false;
                         known = null;
-                        shut();
+                        closeNow();
                         return;
                     }
-                    update = known.with(update);
+                    update = known.apply(update);
                 }
-                listener.accept(listing ? new Update(update.rev(), true, update.entries()) : update);
+                listener.accept(listing ? new Update(update.revision(), true, update.entries()) : update);
                 sending = true;
                 if (of == life) {
                     known = null;
-                    rev = update.rev();
+                    rev = update.revision();
                     whole = true;
                     pause = Math.min(pause, FIRST_PAUSE);
                     hear();
@@ -487,7 +487,7 @@
         private void startOver(RuntimeException cause) {
             if (!isClosed()) {
                 LOG.log(Level.WARNING, "discovery sent what is no list: {0}", cause.getMessage());
-                shut();
+                closeNow();
             }
         }
 
@@ -495,7 +495,7 @@
             Watch former = heard;
             heard = this;
             if (former != null && former != this) {
-                former.shut();
+                former.closeNow();
             }
         }
 
@@ -505,7 +505,7 @@
                 parser.reset();
                 ask();
             } else {
-                mailbox.post(this::shut);
+                mailbox.post(this::closeNow);
             }
             return true;
         }
--- a/src/main/java/barrowshore/standin/Demo.java
+++ b/src/main/java/barrowshore/standin/Demo.java
@@ -119,7 +119,7 @@
     private static double spilled(StandInSite site) throws Exception {
         double sum = 0;
         for (int s = 0; s < 2; s++) {
-            sum += site.schedulers().get(s).spilled(1 - s).get(2, TimeUnit.SECONDS);
+            sum += site.schedulers().get(s).spilledSlots(1 - s).get(2, TimeUnit.SECONDS);
         }
         return sum;
     }
@@ -128,7 +128,7 @@
     private static String states(StandInSite site) throws Exception {
         StringBuilder line = new StringBuilder();
         for (int h = 0; h < 2; h++) {
-            CompletableFuture<List<HallState>> states = site.schedulers().get(h).halls();
+            CompletableFuture<List<HallState>> states = site.schedulers().get(h).hallStates();
             line.append(site.hallNames().get(h))
                     .append(' ')
                     .append(states.get(2, TimeUnit.SECONDS).get(h).name().toLowerCase(Locale.ROOT))
--- a/src/main/java/barrowshore/standin/StandInDiscovery.java
+++ b/src/main/java/barrowshore/standin/StandInDiscovery.java
@@ -128,7 +128,7 @@
     public void stop() {
         mailbox.post(() -> {
             stopped = true;
-            Set.copyOf(watches).forEach(Link::shut);
+            Set.copyOf(watches).forEach(Link::closeNow);
         });
         front.close(port);
     }
--- a/src/main/java/barrowshore/standin/StandInNode.java
+++ b/src/main/java/barrowshore/standin/StandInNode.java
@@ -167,7 +167,7 @@
 
     private void close() {
         front.close(port);
-        List.copyOf(links).forEach(Link::shut);
+        List.copyOf(links).forEach(Link::closeNow);
     }
 
     /** Stops for good. */
@@ -183,9 +183,9 @@
         }
 
         @Override
-        protected void begin() {
+        protected void onConnected() {
             if (!model.up()) {
-                shut();
+                closeNow();
                 return;
             }
             links.add(this);
@@ -296,7 +296,7 @@
 
         @Override
         public void lost() {
-            link.shut();
+            link.closeNow();
         }
     }
 }
--- a/src/main/java/barrowshore/status/SchedulerCounters.java
+++ b/src/main/java/barrowshore/status/SchedulerCounters.java
@@ -22,28 +22,28 @@
     private long loadErrors;
 
     /** The classes by their numbers; one that is new starts at 0, one that is known goes on. */
-    public void classes(List<String> now) {
+    public void setClasses(List<String> now) {
         for (int k = names.size(); k < now.size(); k++) {
             names.add(now.get(k));
             ends.add(new long[Outcome.values().length]);
         }
     }
 
-    public void ended(int jobClass, Outcome end) {
+    public void countOutcome(int jobClass, Outcome end) {
         ends.get(jobClass)[end.ordinal()]++;
     }
 
-    public void tried() {
+    public void countAttempt() {
         tries++;
     }
 
     /** A file was read at SIGHUP. */
-    public void loaded(boolean taken) {
+    public void countReload(boolean taken) {
         loads += taken ? 1 : 0;
         loadErrors += taken ? 0 : 1;
     }
 
-    public SchedulerMetrics figures(boolean ready, int inProgress, int known, int skipped) {
+    public SchedulerMetrics snapshot(boolean ready, int inProgress, int known, int skipped) {
         List<SchedulerMetrics.ClassCounts> classes = new ArrayList<>(names.size());
         for (int k = 0; k < names.size(); k++) {
             long[] of = ends.get(k);
--- a/src/main/java/barrowshore/status/SchedulerMetrics.java
+++ b/src/main/java/barrowshore/status/SchedulerMetrics.java
@@ -11,8 +11,8 @@
         List<ClassCounts> classes,
         long tries,
         int inProgress,
-        int known,
-        int skipped,
+        int knownWorkers,
+        int skippedWorkers,
         long loads,
         long loadErrors) {
     /** Final answers to jobs of one class since the start. */
@@ -21,15 +21,15 @@
     public static final SchedulerMetrics NONE = new SchedulerMetrics(false, List.of(), 0, 0, 0, 0, 0, 0);
 
     /** The figures as text, one a line. */
-    public String lines() {
+    public String metricLines() {
         StringBuilder out = new StringBuilder(512);
         classes.forEach(c -> line(out, "passed." + c.name, c.passed));
         classes.forEach(c -> line(out, "dropped." + c.name, c.dropped));
         classes.forEach(c -> line(out, "bad_gateway." + c.name, c.badGateway));
         line(out, "upstream_tries", tries);
         line(out, "in_progress", inProgress);
-        line(out, "known_workers", known);
-        line(out, "skipped_workers", skipped);
+        line(out, "known_workers", knownWorkers);
+        line(out, "skipped_workers", skippedWorkers);
         line(out, "loads", loads);
         line(out, "load_errors", loadErrors);
         return out.toString();
--- a/src/main/java/barrowshore/upgrade/UpgradeLink.java
+++ b/src/main/java/barrowshore/upgrade/UpgradeLink.java
@@ -28,13 +28,13 @@
     /** What is heard of the other process; called in this actor's mailbox. */
     public interface Listener {
         /** A line from the process before us (else after us). */
-        void told(boolean before, String line);
+        void lineReceived(boolean before, String line);
 
         /** A process after us has come up and wants to know what we know. */
-        void joined();
+        void successorConnected();
 
         /** The link has ended, and as good as always its process. */
-        void left(boolean before);
+        void linkClosed(boolean before);
     }
 
     private final Path file;
@@ -53,7 +53,7 @@
     }
 
     /** Whether a process was there before us as we came up. */
-    public boolean found() {
+    public boolean foundPredecessor() {
         return before != null;
     }
 
@@ -101,7 +101,7 @@
         close(after);
         after = channel;
         read(channel, false);
-        listener.joined();
+        listener.successorConnected();
     }
 
     private void read(SocketChannel channel, boolean isBefore) {
@@ -110,7 +110,7 @@
                     new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     String told = line;
-                    mailbox.post(() -> listener.told(isBefore, told));
+                    mailbox.post(() -> listener.lineReceived(isBefore, told));
                 }
             } finally {
                 mailbox.post(() -> ended(channel, isBefore));
@@ -122,18 +122,18 @@
         close(channel);
         if (isBefore && channel == before) {
             before = null;
-            listener.left(true);
+            listener.linkClosed(true);
         } else if (channel == after) {
             after = null;
             // It had put its own socket in the place of ours; the next one is to find us again.
             close(server);
             listen();
-            listener.left(false);
+            listener.linkClosed(false);
         }
     }
 
     /** Tells the other process: the one before us, or the one after. What cannot be told is lost with the link. */
-    public void tell(boolean toBefore, String line) {
+    public void send(boolean toBefore, String line) {
         mailbox.post(() -> {
             SocketChannel to = toBefore ? before : after;
             if (to != null) {
--- a/src/main/java/barrowshore/wire/SettingsReader.java
+++ b/src/main/java/barrowshore/wire/SettingsReader.java
@@ -18,7 +18,7 @@
  * pairs, so that both readings end in one place.
  */
 public final class SettingsReader {
-    /** What the protocol pages name, read here or not; numbers as in {@link #unknown}. */
+    /** What the protocol pages name, read here or not; numbers as in {@link #unknownServers}. */
     private static final Set<String> NAMED = Set.of(
             "groupSize",
             "me",
@@ -182,30 +182,30 @@
         Settings s = new Settings();
         s.seed = seed;
         s.dispatchers = (int) number("groupSize", s.dispatchers);
-        s.me = (int) number("me", s.me);
+        s.ownIndex = (int) number("me", s.ownIndex);
         s.zone = (int) number("zone", s.zone);
         s.kinds = Math.max(1, list("kinds").length);
-        s.tick = (long) number("tick", s.tick);
-        s.overShareWorth = number("overShareWorth", s.overShareWorth);
-        s.worthByWork = "work".equals(pairs.get("worthBy"));
+        s.tickMicros = (long) number("tick", s.tickMicros);
+        s.overQuotaWorth = number("overShareWorth", s.overQuotaWorth);
+        s.worthPerWork = "work".equals(pairs.get("worthBy"));
         s.maxAttempts = (int) number("policyLimits.sendCap", s.maxAttempts);
-        s.secondCopies = flag("policyLimits.secondCopies", s.secondCopies);
+        s.mayHedge = flag("policyLimits.secondCopies", s.mayHedge);
         s.mayCancel = flag("policyLimits.cancel", s.mayCancel);
         s.mayProbe = flag("policyLimits.probing", s.mayProbe);
-        s.mayTell = flag("policyLimits.mayTell", s.mayTell);
-        s.maxRetryAfter = (long) number("policyLimits.maxRetryAfter", s.maxRetryAfter);
-        s.liveRatings = "live".equals(pairs.get("weights"));
-        s.askForList = "subscribe".equals(pairs.get("discovery"));
-        s.askEvery = (long) number("rules.askEvery", s.askEvery);
-        s.tellsStart = flag("domain.tellsStart", s.tellsStart);
-        s.progressEvery = (long) number("domain.progress", s.progressEvery);
-        s.connectTimeout = (long) number("policyLimits.dialTimeout", s.connectTimeout);
+        s.mayMessagePeers = flag("policyLimits.mayTell", s.mayMessagePeers);
+        s.maxRetryAfterMicros = (long) number("policyLimits.maxRetryAfter", s.maxRetryAfterMicros);
+        s.ratingsReflectLoad = "live".equals(pairs.get("weights"));
+        s.pollsList = "subscribe".equals(pairs.get("discovery"));
+        s.listPollMicros = (long) number("rules.askEvery", s.listPollMicros);
+        s.notesStart = flag("domain.tellsStart", s.notesStart);
+        s.progressMicros = (long) number("domain.progress", s.progressMicros);
+        s.connectTimeoutMicros = (long) number("policyLimits.dialTimeout", s.connectTimeoutMicros);
         s.startCapacity = number("rules.startCapacity", s.startCapacity);
-        s.cold = (long) number("rules.cold", s.cold);
-        s.fallMultiple = number("rules.fallMultiple", s.fallMultiple);
-        s.fall = (long) number("rules.fall", s.fall);
+        s.warmUpMicros = (long) number("rules.cold", s.warmUpMicros);
+        s.overloadMultiple = number("rules.fallMultiple", s.overloadMultiple);
+        s.overloadWindowMicros = (long) number("rules.fall", s.overloadWindowMicros);
         s.crossZoneCharge = number("charges.crossZone", s.crossZoneCharge);
-        s.reports = switch (pairs.getOrDefault("telemetry.how", "silent")) {
+        s.reportSource = switch (pairs.getOrDefault("telemetry.how", "silent")) {
             case "piggyback" -> ReportSource.ANSWERS;
             case "pull" -> ReportSource.PROBES;
             default -> ReportSource.NONE;
--- a/src/main/java/barrowshore/wire/WireHost.java
+++ b/src/main/java/barrowshore/wire/WireHost.java
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public void tell(byte[] message) {
+        public void sendToPeers(byte[] message) {
             action("SAY")
                     .append(" -1 ")
                     .append(HexFormat.of().formatHex(message))
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void timer(long delay, String token) {
+        public void setTimer(long delay, String token) {
             action("TIMER")
                     .append(' ')
                     .append(Math.max(1, delay))
@@ -111,7 +111,7 @@
         }
 
         @Override
-        public void watch() {
+        public void watchList() {
             action("WATCH").append(" 1\n");
         }
 
@@ -211,7 +211,7 @@
                 Note note = line.integer("sort") == 1 ? Note.STARTED : Note.PROGRESS;
                 to.note(now, id, attempt, note, line.decimal("amount"));
             }
-            case "ELAPSED" -> to.timer(now, line.text("handle"));
+            case "ELAPSED" -> to.timerFired(now, line.text("handle"));
             case "MEMBERS" -> members(to);
             case "HANGUP" -> to.clientGone(now, line.text("txn"));
             case "PONG" -> {
@@ -223,7 +223,7 @@
             case "STOP" -> instances.remove(number);
             case "PEER_DATA" -> {
                 int from = (int) line.integer("originPeer");
-                to.peer(now, from, blob(line.text("blob")));
+                to.peerMessage(now, from, blob(line.text("blob")));
             }
             case "ACCEPTED" -> {}
             default -> throw line.wrong("unknown message " + word);
--- a/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
+++ b/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
@@ -16,7 +16,7 @@
     void whereTheWholeHoldsManyJobsManySchedulersHaveATurnSoon() {
         assertThat(IntStream.range(0, 14)
                         .mapToObj(k -> ColdWorkerBudget.Terms.of(14, k, WINDOW, 3, 180_000))
-                        .filter(terms -> LongStream.range(0, 900).anyMatch(t -> terms.turn(t * 10_000, 12345)))
+                        .filter(terms -> LongStream.range(0, 900).anyMatch(t -> terms.hasTurn(t * 10_000, 12345)))
                         .count())
                 .isGreaterThanOrEqualTo(7);
     }
@@ -35,18 +35,18 @@
         ColdWorkerBudget.Terms old = ColdWorkerBudget.Terms.of(30, 7, WINDOW, 3, 180_000);
         long[] turns = LongStream.range(0, 100_000)
                 .map(t -> t * 10_000)
-                .filter(t -> old.turn(t, 12345) && old.turn(t + 1, 12345))
+                .filter(t -> old.hasTurn(t, 12345) && old.hasTurn(t + 1, 12345))
                 .toArray();
         long start = turns[turns.length / 2] + 1;
         ColdWorkerBudget.Terms fresh = old.startedAt(start);
-        assertThat(fresh.turn(start, 12345)).isFalse();
-        assertThat(new ColdWorkerBudget().may(start, fresh, 12345, 1e9, 1)).isFalse();
-        assertThat(new ColdWorkerBudget().may(start, old, 12345, 1e9, 1)).isTrue();
+        assertThat(fresh.hasTurn(start, 12345)).isFalse();
+        assertThat(new ColdWorkerBudget().allows(start, fresh, 12345, 1e9, 1)).isFalse();
+        assertThat(new ColdWorkerBudget().allows(start, old, 12345, 1e9, 1)).isTrue();
         long first = LongStream.of(turns)
-                .filter(t -> fresh.turn(t, 12345))
+                .filter(t -> fresh.hasTurn(t, 12345))
                 .findFirst()
                 .orElseThrow();
         assertThat(first).isGreaterThan(start);
-        assertThat(LongStream.of(turns).filter(t -> t >= first)).allMatch(t -> fresh.turn(t, 12345));
+        assertThat(LongStream.of(turns).filter(t -> t >= first)).allMatch(t -> fresh.hasTurn(t, 12345));
     }
 }
--- a/src/test/java/barrowshore/client/UnreadInvitationTest.java
+++ b/src/test/java/barrowshore/client/UnreadInvitationTest.java
@@ -30,7 +30,7 @@
         final List<JobRequest.Client> open = new ArrayList<>();
 
         @Override
-        public void open(JobRequest request, JobRequest.Client client) {
+        public void submit(JobRequest request, JobRequest.Client client) {
             open.add(client);
         }
 
@@ -38,10 +38,10 @@
         public void clientGone(JobRequest request) {}
 
         @Override
-        public void turnedAway(int jobClass) {}
+        public void countTurnedAway(int jobClass) {}
 
         @Override
-        public void ready(Consumer<Boolean> asker) {}
+        public void askReady(Consumer<Boolean> asker) {}
     }
 
     @Test
--- a/src/test/java/barrowshore/config/ChangedConfigTest.java
+++ b/src/test/java/barrowshore/config/ChangedConfigTest.java
@@ -43,7 +43,7 @@
         Config again = Config.parse(text.replace("at_most_once", "idempotent")).inPlaceOf(without);
         assertThat(again.classes()).containsExactly("menu", "order", "supper");
         assertThat(again.served()).containsExactlyInAnyOrder("menu", "order");
-        assertThat(again.settings().classes[1].effect()).isEqualTo(RepeatSafety.SAFE);
+        assertThat(again.settings().classes[1].safety()).isEqualTo(RepeatSafety.SAFE);
     }
 
     @Test
@@ -139,7 +139,7 @@
         assertThat(next("\"deadline\":5000000", "\"deadline\":1e300")
                         .settings()
                         .classes[0]
-                        .deadline())
+                        .deadlineMicros())
                 .isPositive();
         assertThat(next("\"sendCap\":5", "\"sendCap\":1e300").settings().maxAttempts)
                 .isPositive();
--- a/src/test/java/barrowshore/config/ConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigTest.java
@@ -25,11 +25,11 @@
         Config config = Config.parse(good());
         assertThat(config.settings().seed).isEqualTo(0x8c1f30d27a5be964L);
         assertThat(config.classes()).containsExactly("menu", "order");
-        assertThat(config.settings().classes[0].effect()).isEqualTo(RepeatSafety.SAFE);
-        assertThat(config.settings().classes[1].effect()).isEqualTo(RepeatSafety.UNSAFE);
-        assertThat(config.settings().connectTimeout).isEqualTo(250_000);
+        assertThat(config.settings().classes[0].safety()).isEqualTo(RepeatSafety.SAFE);
+        assertThat(config.settings().classes[1].safety()).isEqualTo(RepeatSafety.UNSAFE);
+        assertThat(config.settings().connectTimeoutMicros).isEqualTo(250_000);
         assertThat(config.keepAlive()).isEqualTo(60_000_000);
-        assertThat(config.known().rev()).isEqualTo(5);
+        assertThat(config.known().revision()).isEqualTo(5);
         assertThat(config.known().entries()).singleElement().satisfies(e -> {
             assertThat(e.uid()).isEqualTo("s-1");
             assertThat(e.state()).isEqualTo(ServerList.State.READY);
--- a/src/test/java/barrowshore/emulate/ColdFleetTest.java
+++ b/src/test/java/barrowshore/emulate/ColdFleetTest.java
@@ -139,7 +139,7 @@
             now = time + ahead;
             List<Timer> due = timers.stream().filter(t -> t.at <= now).toList();
             timers.removeAll(due);
-            due.forEach(t -> module.timer(now, t.token));
+            due.forEach(t -> module.timerFired(now, t.token));
         }
 
         /** Whether it sends a job to the server, which answers at once. */
@@ -160,7 +160,7 @@
         }
 
         @Override
-        public void timer(long delay, String token) {
+        public void setTimer(long delay, String token) {
             timers.add(new Timer(now + delay, token));
         }
 
@@ -177,10 +177,10 @@
         public void probe(String worker) {}
 
         @Override
-        public void tell(byte[] message) {}
+        public void sendToPeers(byte[] message) {}
 
         @Override
-        public void watch() {}
+        public void watchList() {}
 
         @Override
         public void log(String line) {}
@@ -215,16 +215,16 @@
             Settings set = new Settings();
             set.seed = ++seeds;
             set.dispatchers = SCHEDULERS;
-            set.me = me;
-            set.tick = STEP;
+            set.ownIndex = me;
+            set.tickMicros = STEP;
             // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
             set.classes = new JobClass[] {
                 new JobClass(work, 19, 2 * S, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500 * MS, -1, 0)
             };
             set.startCapacity = START_CAPACITY;
-            set.cold = COLD;
-            set.fall = WINDOW;
-            set.fallMultiple = MULTIPLE;
+            set.warmUpMicros = COLD;
+            set.overloadWindowMicros = WINDOW;
+            set.overloadMultiple = MULTIPLE;
             return new Process(set, ahead[me], now, server);
         }
 
@@ -269,14 +269,14 @@
             if (twoProcessesEvery > 0 && since % twoProcessesEvery == 0) {
                 for (int me = 0; me < SCHEDULERS; me++) {
                     schedulers.get(me).add(process(me, now));
-                    schedulers.get(me).forEach(process -> process.module.share(0.5));
+                    schedulers.get(me).forEach(process -> process.module.setDispatcherShare(0.5));
                 }
             }
             if (twoProcessesEvery > 0 && since % twoProcessesEvery == BOTH_FOR) {
                 for (List<Process> processes : schedulers) {
                     if (processes.size() > 1) {
                         processes.remove(0);
-                        processes.get(0).module.share(1);
+                        processes.get(0).module.setDispatcherShare(1);
                     }
                 }
             }
--- a/src/test/java/barrowshore/emulate/MatrixTest.java
+++ b/src/test/java/barrowshore/emulate/MatrixTest.java
@@ -31,8 +31,8 @@
     private static World.Modules misled(Consumer<Settings> otherwise) {
         return (settings, actions, truth) -> {
             Settings believed = new Settings();
-            believed.stand(settings);
-            believed.take(settings);
+            believed.copyIdentityFrom(settings);
+            believed.copyReloadableFrom(settings);
             otherwise.accept(believed);
             return new Rival(Rule.RANDOM, believed, actions, new SplittableRandom(settings.seed)::nextDouble, null);
         };
@@ -75,9 +75,9 @@
                                 seed,
                                 misled(s -> s.classes = Arrays.stream(s.classes)
                                         .map(c -> new JobClass(
-                                                c.aim(),
-                                                c.stretch(),
-                                                c.deadline(),
+                                                c.targetMicros(),
+                                                c.targetStretch(),
+                                                c.deadlineMicros(),
                                                 c.worth(),
                                                 0,
                                                 RepeatSafety.SAFE,
--- a/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
+++ b/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
@@ -62,7 +62,7 @@
         }
 
         void hold(int name, int slots) {
-            sender.add(name, slots - holds.getOrDefault(name, 0));
+            sender.addSlots(name, slots - holds.getOrDefault(name, 0));
             holds.put(name, slots);
         }
     }
@@ -109,17 +109,17 @@
             now += STEP;
             for (int k = 0; k < count; k++) {
                 Side side = sides.get(k);
-                byte[] message = now < side.pausedUntil ? null : side.sender.due(now, workers, JOB);
+                byte[] message = now < side.pausedUntil ? null : side.sender.nextDatagram(now, workers, JOB);
                 for (int to = 0; message != null && to < count; to++) {
-                    bytes += to == 0 ? message.length + SnapshotSender.HEADS_BYTES : 0;
+                    bytes += to == 0 ? message.length + SnapshotSender.HEADER_BYTES : 0;
                     send(k, to, message);
                 }
-                side.heard.expire(now);
+                side.heard.expireSilentPeers(now);
             }
             while (!underWay.isEmpty() && underWay.peek().at <= now) {
                 Arrival next = underWay.poll();
                 if (now >= sides.get(next.to).pausedUntil) {
-                    sides.get(next.to).heard.heard(now, next.from, next.message);
+                    sides.get(next.to).heard.receive(now, next.from, next.message);
                 }
             }
         }
@@ -142,7 +142,7 @@
 
         /** How long a round over the largest state takes at the budget. */
         long round() {
-            int most = sides.stream().mapToInt(s -> s.sender.names()).max().orElse(0);
+            int most = sides.stream().mapToInt(s -> s.sender.nameCount()).max().orElse(0);
             double rate =
                     Math.max(SnapshotSender.LEAST_BYTES_PER_SECOND, SnapshotSender.FLEET_BYTES_PER_SECOND / count);
             double bytesOfRound =
--- a/src/test/java/barrowshore/files/ServersFileTest.java
+++ b/src/test/java/barrowshore/files/ServersFileTest.java
@@ -40,8 +40,8 @@
         OperatorServerList file = parse(good());
         assertThat(file.revision()).isEqualTo(1);
         assertThat(file.grace()).isEqualTo(10_000_000);
-        ServerList.Update update = file.update(NAMES, s -> 42);
-        assertThat(update.all()).isTrue();
+        ServerList.Update update = file.toUpdate(NAMES, s -> 42);
+        assertThat(update.full()).isTrue();
         assertThat(update.entries()).hasSize(4).allMatch(e -> e.bootMicros() == 42);
         assertThat(update.entries().get(2)).satisfies(e -> {
             assertThat(e.address().getAddress().getAddress()).hasSize(16);
@@ -54,7 +54,7 @@
     @Example
     void aWeightOfNothingTakesNothingNew() {
         assertThat(parse(good().replaceFirst("weight=\"5\"", "weight=\"0\""))
-                        .update(NAMES, s -> 0)
+                        .toUpdate(NAMES, s -> 0)
                         .entries()
                         .get(0)
                         .state())
@@ -92,7 +92,7 @@
                     .message()
                     .doesNotContain("\n");
         }
-        assertThatThrownBy(() -> parse(good().replace("hala-b", "hala-z")).update(NAMES, s -> 0))
+        assertThatThrownBy(() -> parse(good().replace("hala-b", "hala-z")).toUpdate(NAMES, s -> 0))
                 .hasMessageContaining("line 10: server: hall hala-z is none of the zones");
     }
 
@@ -100,34 +100,34 @@
     void whatTakesTooMuchAwayIsHeldUntilForced() {
         OperatorServerList inUse = parse(good());
         String less = good().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
-        assertThat(ServerListChangePolicy.judge(inUse, parse(less), 0.5).outcome())
+        assertThat(ServerListChangePolicy.check(inUse, parse(less), 0.5).outcome())
                 .isEqualTo(Outcome.TAKEN);
-        assertThat(ServerListChangePolicy.judge(inUse, parse(less), 0.3).outcome())
+        assertThat(ServerListChangePolicy.check(inUse, parse(less), 0.3).outcome())
                 .isEqualTo(Outcome.HELD);
-        assertThat(ServerListChangePolicy.judge(
+        assertThat(ServerListChangePolicy.check(
                                 inUse, parse(less.replace("revision=\"2\"", "revision=\"3\" force=\"true\"")), 0.3)
                         .outcome())
                 .isEqualTo(Outcome.TAKEN);
         String noHall = less.replaceFirst("(?m)^.*s-a2.*\\n", "");
-        assertThat(ServerListChangePolicy.judge(inUse, parse(noHall), 1)).satisfies(v -> {
+        assertThat(ServerListChangePolicy.check(inUse, parse(noHall), 1)).satisfies(v -> {
             assertThat(v.outcome()).isEqualTo(Outcome.HELD);
-            assertThat(v.why()).contains("hall hala-a empty");
+            assertThat(v.reason()).contains("hall hala-a empty");
         });
         String none = good().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
-        assertThat(ServerListChangePolicy.judge(inUse, parse(none), 1).outcome())
+        assertThat(ServerListChangePolicy.check(inUse, parse(none), 1).outcome())
                 .isEqualTo(Outcome.HELD);
-        assertThat(ServerListChangePolicy.judge(null, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
+        assertThat(ServerListChangePolicy.check(null, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
     }
 
     @Example
     void aRevisionNeverGoesBackNorSaysTwoThings() {
         OperatorServerList two = parse(good().replace("revision=\"1\"", "revision=\"2\""));
-        assertThat(ServerListChangePolicy.judge(two, parse(good()), 1).outcome())
+        assertThat(ServerListChangePolicy.check(two, parse(good()), 1).outcome())
                 .isEqualTo(Outcome.REFUSED);
-        assertThat(ServerListChangePolicy.judge(two, two, 1).outcome()).isEqualTo(Outcome.SAME);
+        assertThat(ServerListChangePolicy.check(two, two, 1).outcome()).isEqualTo(Outcome.SAME);
         OperatorServerList other =
                 parse(good().replace("revision=\"1\"", "revision=\"2\"").replace("weight=\"5\"", "weight=\"4\""));
-        assertThat(ServerListChangePolicy.judge(two, other, 1).outcome()).isEqualTo(Outcome.REFUSED);
+        assertThat(ServerListChangePolicy.check(two, other, 1).outcome()).isEqualTo(Outcome.REFUSED);
         assertThat(ServerListChangePolicy.diff(two, other))
                 .hasSize(2)
                 .allMatch(line -> line.startsWith("~ ") && line.contains("->"));
--- a/src/test/java/barrowshore/halls/HallsPropertyTest.java
+++ b/src/test/java/barrowshore/halls/HallsPropertyTest.java
@@ -35,17 +35,30 @@
             this.servers = servers;
             for (int s = 0; s < count; s++) {
                 int home = s % NAMES.size();
-                HallRules usual = HallRules.usual(NAMES, home);
+                HallRules usual = HallRules.defaults(NAMES, home);
                 HallRules rules = new HallRules(
-                        NAMES, home, usual.tier(), false, spill, 0.6, S, S / 2, 3 * S, 5 * S, 20 * S, 30 * S, 0.1, 10);
+                        NAMES,
+                        home,
+                        usual.tiersByHall(),
+                        false,
+                        spill,
+                        0.6,
+                        S,
+                        S / 2,
+                        3 * S,
+                        5 * S,
+                        20 * S,
+                        30 * S,
+                        0.1,
+                        10);
                 Halls halls = new Halls(rules, count, s, chance::nextDouble);
                 List<HallServer> mine = new ArrayList<>();
                 for (int h = 0; h < NAMES.size(); h++) {
                     for (int k = 0; k < servers; k++) {
-                        HallServer p = halls.place("s" + h + "-" + k);
-                        halls.listed(now, p, h, true, false, 0);
-                        halls.see(now, p, 5, 1, false);
-                        halls.sign(now, p);
+                        HallServer p = halls.serverFor("s" + h + "-" + k);
+                        halls.updateListing(now, p, h, true, false, 0);
+                        halls.updateCapacity(now, p, 5, 1, false);
+                        halls.recordSignOfLife(now, p);
                         mine.add(p);
                     }
                 }
@@ -58,8 +71,8 @@
 
         /** Whether a scheduler may send a job there now. */
         boolean takes(int s, HallServer p) {
-            double price = schedulers.get(s).weigh(now, 1, 1, true, 0)[p.hall];
-            return price >= 0 ? price != HallPolicy.CLOSED : schedulers.get(s).takes(p);
+            double price = schedulers.get(s).priceHalls(now, 1, 1, true, 0)[p.hall];
+            return price >= 0 ? price != HallPolicy.CLOSED : schedulers.get(s).mayUse(p);
         }
 
         /** One step of time: mail, evidence by who is well, turns, jobs. */
@@ -68,7 +81,7 @@
             for (Mail m : List.copyOf(mail)) {
                 if (m.at <= now) {
                     mail.remove(m);
-                    schedulers.get(m.to).heard(now, m.from, m.bytes);
+                    schedulers.get(m.to).receive(now, m.from, m.bytes);
                 }
             }
             for (int s = 0; s < schedulers.size(); s++) {
@@ -76,19 +89,19 @@
                 for (int k = 0; k < places.get(s).size(); k++) {
                     if (chance.nextDouble() < 0.3) {
                         if (well[k / servers]) {
-                            halls.sign(now, places.get(s).get(k));
+                            halls.recordSignOfLife(now, places.get(s).get(k));
                         } else {
-                            halls.against(now, places.get(s).get(k), HallServer.Fault.UNREACHABLE);
+                            halls.recordFault(now, places.get(s).get(k), HallServer.Fault.UNREACHABLE);
                         }
                     }
                 }
-                halls.turn(now, true);
-                for (String id : halls.probes()) {
-                    HallServer p = halls.place(id);
-                    halls.probed(now, p, well[p.hall]);
+                halls.updateStates(now, true);
+                for (String id : halls.serversToProbe()) {
+                    HallServer p = halls.serverFor(id);
+                    halls.recordProbe(now, p, well[p.hall]);
                 }
                 if (schedulers.size() > 1 && chance.nextInt(6) == 0) {
-                    byte[] bytes = halls.message(now);
+                    byte[] bytes = halls.nextMessage(now);
                     assertThat(bytes.length).isLessThanOrEqualTo(256);
                     for (int to = 0; to < schedulers.size(); to++) {
                         if (to != s && chance.nextDouble() >= lossy) {
@@ -120,12 +133,12 @@
                 int h = (w.homes.get(s) + 1 + w.chance.nextInt(2)) % 3;
                 HallServer p = w.places.get(s).get(h * 4 + w.chance.nextInt(4));
                 if (s % 2 == 0 && w.takes(s, p)) {
-                    halls.sent(w.now, p, 1, 0);
+                    halls.recordSent(w.now, p, 1, 0);
                     w.out.get(s).add(new long[] {w.places.get(s).indexOf(p), w.now});
                 }
                 if (!w.out.get(s).isEmpty() && w.chance.nextInt(3) == 0) {
                     long[] first = w.out.get(s).remove(0);
-                    halls.ended(w.now, w.places.get(s).get((int) first[0]), first[1], 1, true);
+                    halls.recordEnd(w.now, w.places.get(s).get((int) first[0]), first[1], 1, true);
                 }
             }
             for (int h = 0; h < 3; h++) {
@@ -211,8 +224,8 @@
                 for (int n = 0; n < servers; n++) {
                     HallServer p = w.places.get(s).get(home * servers + n);
                     if (w.takes(s, p)) {
-                        halls.sent(w.now, p, 1, 0);
-                        halls.ended(w.now, p, w.now, 1, true);
+                        halls.recordSent(w.now, p, 1, 0);
+                        halls.recordEnd(w.now, p, w.now, 1, true);
                     }
                 }
             }
@@ -243,7 +256,7 @@
             for (int n = 0; n < 6; n++) {
                 HallServer p = w.places.get(0).get(n);
                 if (w.takes(0, p)) {
-                    halls.sent(w.now, p, 1, 0);
+                    halls.recordSent(w.now, p, 1, 0);
                     first[n] += proved[n] ? 0 : 1;
                 }
                 trying += !proved[n] && first[n] > 0 ? 1 : 0;
@@ -253,7 +266,7 @@
             assertThat(trying).isLessThanOrEqualTo(Math.max(1, done));
             for (int n = 0; n < 6; n++) {
                 if (first[n] == 1 && !proved[n] && w.chance.nextInt(4) == 0) {
-                    halls.ended(w.now, w.places.get(0).get(n), w.now, 1, true);
+                    halls.recordEnd(w.now, w.places.get(0).get(n), w.now, 1, true);
                     proved[n] = true;
                 }
             }
@@ -263,11 +276,11 @@
     /** Any bytes: never an exception, never taken for something else. */
     @Property(tries = 500, seed = "20261201")
     void anyBytesAreRead(@ForAll byte[] bytes) {
-        Halls halls = new Halls(HallRules.usual(NAMES, 0), 3, 0, new Random(1)::nextDouble);
-        assertThat(halls.heard(S, 1, bytes)).isEqualTo(bytes.length > 0 && bytes[0] == HallPolicy.MARK);
+        Halls halls = new Halls(HallRules.defaults(NAMES, 0), 3, 0, new Random(1)::nextDouble);
+        assertThat(halls.receive(S, 1, bytes)).isEqualTo(bytes.length > 0 && bytes[0] == HallPolicy.MESSAGE_TYPE);
         if (bytes.length > 0) {
-            bytes[0] = HallPolicy.MARK;
-            assertThat(halls.heard(S, 2, bytes)).isTrue();
+            bytes[0] = HallPolicy.MESSAGE_TYPE;
+            assertThat(halls.receive(S, 2, bytes)).isTrue();
         }
     }
 }
