--- a/src/test/java/barrowshore/halls/HallsTest.java
+++ b/src/test/java/barrowshore/halls/HallsTest.java
@@ -20,7 +20,7 @@
         long now = 100 * S;
 
         Stage(int inA, int inB, int schedulers) {
-            this(inA, inB, schedulers, HallRules.usual(NAMES, 0), 0);
+            this(inA, inB, schedulers, HallRules.defaults(NAMES, 0), 0);
         }
 
         Stage(int inA, int inB, int schedulers, HallRules rules, int me) {
@@ -31,23 +31,23 @@
             for (int k = 0; k < inB; k++) {
                 b.add(add("b" + k, 1, 0));
             }
-            halls.turn(now, false);
+            halls.updateStates(now, false);
         }
 
         HallServer add(String id, int zone, long startedAt) {
-            HallServer p = halls.place(id);
-            halls.listed(now, p, zone, true, false, startedAt);
-            halls.see(now, p, 5, 1, false);
-            halls.sign(now, p);
+            HallServer p = halls.serverFor(id);
+            halls.updateListing(now, p, zone, true, false, startedAt);
+            halls.updateCapacity(now, p, 5, 1, false);
+            halls.recordSignOfLife(now, p);
             return p;
         }
 
         /** Turns for so long; the good ones give signs, the others have words spoken against them. */
         void pass(long time, List<HallServer> good, List<HallServer> bad) {
             for (long until = now + time; now < until; now += TURN) {
-                good.forEach(p -> halls.sign(now, p));
-                bad.forEach(p -> halls.against(now, p, HallServer.Fault.UNREACHABLE));
-                news.addAll(halls.turn(now, false));
+                good.forEach(p -> halls.recordSignOfLife(now, p));
+                bad.forEach(p -> halls.recordFault(now, p, HallServer.Fault.UNREACHABLE));
+                news.addAll(halls.updateStates(now, false));
             }
         }
 
@@ -60,23 +60,23 @@
         }
 
         List<HallServer> taking(List<HallServer> of, double slots, double worth, boolean repeatable, int tier) {
-            double[] prices = halls.weigh(now, slots, worth, repeatable, tier);
+            double[] prices = halls.priceHalls(now, slots, worth, repeatable, tier);
             return of.stream()
-                    .filter(p -> prices[p.hall] >= 0 ? prices[p.hall] != HallPolicy.CLOSED : halls.takes(p))
+                    .filter(p -> prices[p.hall] >= 0 ? prices[p.hall] != HallPolicy.CLOSED : halls.mayUse(p))
                     .toList();
         }
 
         /** Sends a job there and has it served after so long. */
         void serve(HallServer p, long took) {
             long sentAt = now;
-            halls.sent(now, p, 1, 0);
+            halls.recordSent(now, p, 1, 0);
             pass(took, List.of(), List.of());
-            halls.ended(now, p, sentAt, 1, true);
+            halls.recordEnd(now, p, sentAt, 1, true);
         }
 
         /** What another scheduler says of the halls. */
         void hear(Halls other, int from) {
-            halls.heard(now, from, other.message(now));
+            halls.receive(now, from, other.nextMessage(now));
         }
     }
 
@@ -89,7 +89,7 @@
         s.pass(2 * S, s.b, List.of());
         List<HallServer> open = s.taking(s.a, 1, 1, true);
         assertThat(open).isNotEmpty(); // one trial is due
-        s.halls.sent(s.now, open.get(0), 1, 0);
+        s.halls.recordSent(s.now, open.get(0), 1, 0);
         assertThat(s.taking(s.a, 1, 1, true)).isEmpty(); // and only one
         assertThat(s.taking(s.b, 1, 1, true)).hasSize(4);
     }
@@ -129,7 +129,7 @@
     void resetsAloneNeverMakeAHallDark() {
         Stage s = new Stage(4, 4, 1);
         for (int k = 0; k < 20; k++) {
-            s.a.forEach(p -> s.halls.against(s.now, p, HallServer.Fault.RESET));
+            s.a.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.RESET));
             s.pass(TURN, s.b, List.of());
         }
         assertThat(s.state(0)).isEqualTo(HallState.DOUBTED);
@@ -140,7 +140,7 @@
     @Test
     void aLoneServerIsBelievedLostOnlyAfterASecondWord() {
         Stage s = new Stage(1, 4, 1);
-        s.halls.against(s.now, s.a.get(0), HallServer.Fault.UNREACHABLE);
+        s.halls.recordFault(s.now, s.a.get(0), HallServer.Fault.UNREACHABLE);
         s.pass(3 * S, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
         s.pass(2 * S, s.b, s.a);
@@ -151,13 +151,13 @@
     void aPlannedDrainIsNoDoubtAndNoFlap() {
         Stage s = new Stage(3, 4, 1);
         for (int round = 0; round < 3; round++) {
-            s.a.forEach(p -> s.halls.listed(s.now, p, 0, false, true, 0));
+            s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, true, 0));
             s.pass(2 * S, s.b, List.of());
-            s.a.forEach(p -> s.halls.listed(s.now, p, 0, false, false, 0));
+            s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
             s.pass(8 * S, s.b, List.of());
             assertThat(s.state(0)).isEqualTo(HallState.DARK);
             long started = s.now;
-            s.a.forEach(p -> s.halls.listed(s.now, p, 0, true, false, started));
+            s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, started));
             s.pass(TURN, s.b, List.of());
             assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
             s.pass(S, s.b, List.of());
@@ -173,10 +173,10 @@
     @Test
     void aListThatForgetsAHallForAMomentDoesNotMakeItCold() {
         Stage s = new Stage(4, 4, 1);
-        s.a.forEach(p -> s.halls.listed(s.now, p, 0, false, false, 0));
+        s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
         s.pass(S, s.a, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        s.a.forEach(p -> s.halls.listed(s.now, p, 0, true, false, 0));
+        s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, 0));
         s.pass(TURN, s.a, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
     }
@@ -185,27 +185,27 @@
     void aReturningHallProvesItselfServerByServer() {
         Stage s = new Stage(4, 4, 1);
         s.pass(S, s.b, s.a);
-        s.halls.probed(s.now, s.a.get(0), true);
+        s.halls.recordProbe(s.now, s.a.get(0), true);
         s.pass(TURN, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
         s.pass(S, s.b, List.of());
         HallServer first = s.taking(s.a, 1, 1, true).get(0);
-        s.halls.sent(s.now, first, 1, 0);
+        s.halls.recordSent(s.now, first, 1, 0);
         assertThat(s.taking(s.a, 1, 1, true)).isEmpty(); // one trial, not one for each server
-        s.halls.ended(s.now, first, s.now, 1, true);
+        s.halls.recordEnd(s.now, first, s.now, 1, true);
         assertThat(s.taking(s.a, 1, 1, true)).contains(first);
         // What it may hold grows with what it serves.
         int most = 0;
         for (int round = 0; round < 6; round++) {
             int out = 0;
             while (out < 100 && s.taking(List.of(first), 1, 1, true).size() == 1) {
-                s.halls.sent(s.now, first, 1, 0);
+                s.halls.recordSent(s.now, first, 1, 0);
                 out++;
             }
             assertThat(out).isGreaterThan(most);
             most = out;
             for (int k = 0; k < out; k++) {
-                s.halls.ended(s.now, first, s.now, 1, k == 0);
+                s.halls.recordEnd(s.now, first, s.now, 1, k == 0);
             }
         }
     }
@@ -214,16 +214,16 @@
     void oldAnswersAreASignButProveNothing() {
         Stage s = new Stage(4, 4, 1);
         long sentAt = s.now;
-        s.a.forEach(p -> s.halls.sent(s.now, p, 1, 0));
+        s.a.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
         s.pass(S, s.b, s.a);
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        s.halls.ended(s.now, s.a.get(0), sentAt, 1, true);
+        s.halls.recordEnd(s.now, s.a.get(0), sentAt, 1, true);
         s.pass(TURN, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.a.subList(1, 4).forEach(p -> s.halls.ended(s.now, p, sentAt, 1, true)); // the rest comes while it returns
+        s.a.subList(1, 4).forEach(p -> s.halls.recordEnd(s.now, p, sentAt, 1, true)); // the rest comes while it returns
         s.pass(S, s.b, List.of());
         HallServer first = s.taking(s.a, 1, 1, true).get(0);
-        s.halls.sent(s.now, first, 1, 0);
+        s.halls.recordSent(s.now, first, 1, 0);
         assertThat(s.taking(s.a, 1, 1, true)).isEmpty();
     }
 
@@ -235,8 +235,8 @@
         s.pass(TURN, good, List.of());
         for (int k = 0; k < 200; k++) {
             for (HallServer p : s.taking(s.a, 1, 1, true)) {
-                s.halls.sent(s.now, p, 1, 0);
-                s.halls.ended(s.now, p, s.now, 1, good.contains(p));
+                s.halls.recordSent(s.now, p, 1, 0);
+                s.halls.recordEnd(s.now, p, s.now, 1, good.contains(p));
             }
             s.pass(TURN, good, bad);
         }
@@ -254,8 +254,8 @@
             s.pass(TURN, s.a, List.of());
             for (int k = 0; k < 40 && s.state(0) == HallState.RETURNING; k++) {
                 for (HallServer p : s.taking(s.a, 1, 1, true)) {
-                    s.halls.sent(s.now, p, 1, 0);
-                    s.halls.ended(s.now, p, s.now, 1, true);
+                    s.halls.recordSent(s.now, p, 1, 0);
+                    s.halls.recordEnd(s.now, p, s.now, 1, true);
                 }
                 s.pass(TURN, s.a, List.of());
             }
@@ -277,7 +277,7 @@
 
     @Test
     void cutOffAloneIsToldApartFromDark() {
-        Stage s = new Stage(4, 4, 2), other = new Stage(4, 4, 2, HallRules.usual(NAMES, 0), 1);
+        Stage s = new Stage(4, 4, 2), other = new Stage(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
         for (int k = 0; k < 20; k++) {
             other.now = s.now;
             other.pass(TURN, other.a, List.of());
@@ -289,7 +289,7 @@
         assertThat(other.state(0)).isEqualTo(HallState.SERVING);
         // Its own trouble must not keep others' work out of a hall that serves.
         other.hear(s.halls, 0);
-        Stage far = new Stage(4, 4, 3, HallRules.usual(NAMES, 1), 2);
+        Stage far = new Stage(4, 4, 3, HallRules.defaults(NAMES, 1), 2);
         far.now = s.now;
         far.pass(TURN, far.a, List.of());
         far.hear(s.halls, 0);
@@ -298,9 +298,9 @@
 
     @Test
     void aFreshSchedulerBelievesTheOthers() {
-        Stage other = new Stage(4, 4, 2, HallRules.usual(NAMES, 0), 1);
+        Stage other = new Stage(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
         other.pass(S, other.b, other.a);
-        Stage s = new Stage(4, 4, 2, HallRules.usual(NAMES, 1), 0);
+        Stage s = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 0);
         s.a.forEach(p -> p.signAt = Long.MIN_VALUE / 2); // it has never heard of any
         s.now = other.now;
         s.pass(S, s.b, List.of()); // it was not there before: nothing counts yet
@@ -308,13 +308,13 @@
         s.pass(TURN, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
         // It does not say so itself: a rumour would come back to its teller as a second voice.
-        HallTalk.Message told = HallTalk.read(s.halls.message(s.now), 3);
+        HallTalk.Message told = HallTalk.read(s.halls.nextMessage(s.now), 3);
         assertThat(told.halls().get(0).state()).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void aTroubledHallTakesNoGuests() {
-        Stage home = new Stage(4, 4, 2, HallRules.usual(NAMES, 1), 1);
+        Stage home = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
         Stage s = new Stage(4, 4, 2);
         assertThat(s.taking(s.b, 1, 1, true)).hasSize(4);
         home.pass(2 * S, home.a, home.b);
@@ -329,12 +329,12 @@
         Stage s = new Stage(4, 4, 2); // 20 slots in b, two schedulers: 10 each
         double sent = 0;
         while (sent < 100 && !s.taking(s.b, 1, 0.2, true).isEmpty()) {
-            s.halls.sent(s.now, s.b.get(0), 1, 0);
+            s.halls.recordSent(s.now, s.b.get(0), 1, 0);
             sent++;
         }
         assertThat(sent).isEqualTo(7); // 0.76 of 10
         while (sent < 100 && !s.taking(s.b, 1, 1, true).isEmpty()) {
-            s.halls.sent(s.now, s.b.get(0), 1, 0);
+            s.halls.recordSent(s.now, s.b.get(0), 1, 0);
             sent++;
         }
         assertThat(sent).isEqualTo(10);
@@ -343,10 +343,10 @@
 
     @Test
     void crowdedDinersOfItsOwnMakeAHallLessWelcoming() {
-        Stage home = new Stage(4, 4, 2, HallRules.usual(NAMES, 1), 1);
+        Stage home = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
         Stage s = new Stage(4, 4, 2);
         for (int k = 0; k < 100; k++) {
-            home.halls.refused(home.now, 1);
+            home.halls.recordRefusal(home.now, 1);
             home.pass(TURN, home.b, List.of());
         }
         s.now = home.now;
@@ -365,26 +365,26 @@
         Stage s = new Stage(4, 4, 1);
         s.pass(S, s.b, s.a);
         int poor = 0, rich = 0;
-        while (poor < 100 && s.halls.mayRepeat(s.now, s.a.get(0), 0.1)) {
+        while (poor < 100 && s.halls.mayRetry(s.now, s.a.get(0), 0.1)) {
             poor++;
         }
-        while (rich < 100 && s.halls.mayRepeat(s.now, s.a.get(0), 1)) {
+        while (rich < 100 && s.halls.mayRetry(s.now, s.a.get(0), 1)) {
             rich++;
         }
         assertThat(poor).isBetween(1, 5);
         assertThat(poor + rich).isEqualTo(10);
-        assertThat(s.halls.mayRepeat(s.now, s.b.get(0), 0)).isTrue(); // one server's trouble in a hall that serves
+        assertThat(s.halls.mayRetry(s.now, s.b.get(0), 0)).isTrue(); // one server's trouble in a hall that serves
     }
 
     @Test
     void strictTiersOpenAFurtherHallOnlyInALaterRound() {
-        HallRules usual = HallRules.usual(NAMES, 0);
+        HallRules usual = HallRules.defaults(NAMES, 0);
         HallRules strict = new HallRules(NAMES, 0, List.of(0, 1), true, 0.5, 0.6, S, S / 2, S, S, S, S, 0.1, 10);
         Stage s = new Stage(4, 4, 1, strict, 0);
-        assertThat(s.halls.rounds()).isEqualTo(2);
+        assertThat(s.halls.tierRounds()).isEqualTo(2);
         assertThat(s.taking(s.b, 1, 1, true)).isEmpty();
         assertThat(s.taking(s.b, 1, 1, true, 1)).hasSize(4);
-        assertThat(new Stage(4, 4, 1, usual, 0).halls.rounds()).isEqualTo(1);
+        assertThat(new Stage(4, 4, 1, usual, 0).halls.tierRounds()).isEqualTo(1);
     }
 
     @Test
@@ -392,8 +392,8 @@
         Stage s = new Stage(4, 4, 1);
         s.pass(S, s.a, List.of());
         s.now += 5 * S;
-        s.a.forEach(p -> s.halls.against(s.now, p, HallServer.Fault.SILENT));
-        s.b.forEach(p -> s.halls.against(s.now, p, HallServer.Fault.SILENT));
+        s.a.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
+        s.b.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
         s.pass(TURN, List.of(), List.of());
         s.pass(2 * S, allOf(s), List.of());
         assertThat(s.news).isEmpty();
@@ -412,7 +412,7 @@
         assertThat(s.halls.states()).containsOnly(HallState.DARK);
         List<HallServer> open = s.taking(allOf(s), 1, 1, false);
         assertThat(open).hasSize(6);
-        open.forEach(p -> s.halls.sent(s.now, p, 1, 0));
+        open.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
         assertThat(s.taking(allOf(s), 1, 1, false)).isEmpty();
     }
 
@@ -425,7 +425,7 @@
         s.pass(3 * S, List.of(), allOf(s));
         assertThat(s.halls.states()).doesNotContain(HallState.SERVING, HallState.RETURNING, HallState.DOUBTED);
         List<HallServer> open = s.taking(allOf(s), 1, 1, false);
-        open.forEach(p -> s.halls.sent(s.now, p, 1, 0));
+        open.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
         assertThat(s.taking(allOf(s), 1, 1, false)).isEmpty();
     }
 
@@ -433,7 +433,7 @@
     void aHallOfAllNewServersComesBackGently() {
         Stage s = new Stage(4, 4, 1);
         s.pass(S, s.b, s.a);
-        s.a.forEach(p -> s.halls.listed(s.now, p, 0, false, false, 0));
+        s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
         s.pass(S, s.b, List.of());
         List<HallServer> fresh = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
@@ -442,29 +442,29 @@
         s.pass(TURN, s.b, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
         s.pass(S, s.b, List.of());
-        s.halls.sent(s.now, s.taking(fresh, 1, 1, true).get(0), 1, 0);
+        s.halls.recordSent(s.now, s.taking(fresh, 1, 1, true).get(0), 1, 0);
         assertThat(s.taking(fresh, 1, 1, true)).isEmpty();
     }
 
     @Test
     void datagramsAreCheckedAndOldOnesDropped() {
-        Stage s = new Stage(4, 4, 2), other = new Stage(4, 4, 2, HallRules.usual(NAMES, 1), 1);
-        byte[] first = other.halls.message(other.now);
+        Stage s = new Stage(4, 4, 2), other = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
+        byte[] first = other.halls.nextMessage(other.now);
         for (int k = 0; k < 20; k++) {
-            other.halls.refused(other.now, 1);
+            other.halls.recordRefusal(other.now, 1);
             other.pass(TURN, other.b, List.of());
         }
-        byte[] second = other.halls.message(other.now);
+        byte[] second = other.halls.nextMessage(other.now);
         assertThat(second.length).isLessThanOrEqualTo(256);
-        assertThat(s.halls.heard(s.now, 1, second)).isTrue();
+        assertThat(s.halls.receive(s.now, 1, second)).isTrue();
         double part = s.halls.part(s.now, 1);
-        assertThat(s.halls.heard(s.now, 1, first)).isTrue();
+        assertThat(s.halls.receive(s.now, 1, first)).isTrue();
         assertThat(s.halls.part(s.now, 1)).isEqualTo(part);
         for (int cut = 1; cut < second.length; cut++) {
-            assertThat(s.halls.heard(s.now, 1, java.util.Arrays.copyOf(second, cut)))
+            assertThat(s.halls.receive(s.now, 1, java.util.Arrays.copyOf(second, cut)))
                     .isTrue();
         }
-        assertThat(s.halls.heard(s.now, 1, new byte[] {1, 2, 3})).isFalse();
+        assertThat(s.halls.receive(s.now, 1, new byte[] {1, 2, 3})).isFalse();
         assertThat(HallTalk.read(new byte[] {3, 0, 0, 0, 0, 0, 1, 9, 0, 0, 0, 0, 0, 0}, 3))
                 .isNull();
     }
--- a/src/test/java/barrowshore/list/ServerListMergerTest.java
+++ b/src/test/java/barrowshore/list/ServerListMergerTest.java
@@ -38,7 +38,7 @@
 
     /** What one who is told only changes makes of them. */
     private static void apply(Map<String, Entry> list, Update changes) {
-        assertThat(changes.all()).isFalse();
+        assertThat(changes.full()).isFalse();
         for (Entry e : changes.entries()) {
             if (e.state() == State.GONE) {
                 assertThat(list.remove(e.uid())).isNotNull();
@@ -50,46 +50,47 @@
 
     private static ServerListMerger book() {
         ServerListMerger book = new ServerListMerger();
-        book.source("discovery", 1, 0);
-        book.source("file", 2, 10 * S);
+        book.addSource("discovery", 1, 0);
+        book.addSource("file", 2, 10 * S);
         return book;
     }
 
     @Example
     void theBetterRankWinsAndADrainWinsOverRank() {
         ServerListMerger book = book();
-        book.say(0, "file", all(1, ready("a", 7), entry("b", State.TERMINATING, 1)));
-        book.say(0, "discovery", all(1, ready("a", 3), ready("b", 4)));
-        assertThat(byUid(book.whole()).get("a").hint()).isEqualTo(3);
-        assertThat(byUid(book.whole()).get("b").state()).isEqualTo(State.TERMINATING);
-        assertThat(byUid(book.whole()).get("b").hint()).isEqualTo(4);
+        book.apply(0, "file", all(1, ready("a", 7), entry("b", State.TERMINATING, 1)));
+        book.apply(0, "discovery", all(1, ready("a", 3), ready("b", 4)));
+        assertThat(byUid(book.currentList()).get("a").capacityHint()).isEqualTo(3);
+        assertThat(byUid(book.currentList()).get("b").state()).isEqualTo(State.TERMINATING);
+        assertThat(byUid(book.currentList()).get("b").capacityHint()).isEqualTo(4);
     }
 
     @Example
     void whatAFileDropsDrainsForItsGraceAndMayComeBack() {
         ServerListMerger book = book();
-        book.say(0, "file", all(1, ready("a", 1), ready("b", 1)));
-        Update dropped = book.say(S, "file", all(2, ready("a", 1)));
+        book.apply(0, "file", all(1, ready("a", 1), ready("b", 1)));
+        Update dropped = book.apply(S, "file", all(2, ready("a", 1)));
         assertThat(dropped.entries()).singleElement().satisfies(e -> {
             assertThat(e.uid()).isEqualTo("b");
             assertThat(e.state()).isEqualTo(State.TERMINATING);
         });
-        assertThat(book.nextTick()).isEqualTo(11 * S);
-        assertThat(book.tick(11 * S - 1).entries()).isEmpty();
-        assertThat(book.say(5 * S, "file", all(3, ready("a", 1), ready("b", 1))).entries())
+        assertThat(book.nextExpiry()).isEqualTo(11 * S);
+        assertThat(book.expireGraces(11 * S - 1).entries()).isEmpty();
+        assertThat(book.apply(5 * S, "file", all(3, ready("a", 1), ready("b", 1)))
+                        .entries())
                 .singleElement()
                 .satisfies(e -> assertThat(e.state()).isEqualTo(State.READY));
-        assertThat(book.nextTick()).isEqualTo(Long.MAX_VALUE);
-        book.say(6 * S, "file", all(4, ready("a", 1)));
-        assertThat(book.tick(16 * S).entries()).singleElement().satisfies(e -> assertThat(e.state())
+        assertThat(book.nextExpiry()).isEqualTo(Long.MAX_VALUE);
+        book.apply(6 * S, "file", all(4, ready("a", 1)));
+        assertThat(book.expireGraces(16 * S).entries()).singleElement().satisfies(e -> assertThat(e.state())
                 .isEqualTo(State.GONE));
     }
 
     @Example
     void goneIsGoneAtOnceWhereTheSourceSaysSo() {
         ServerListMerger book = book();
-        book.say(0, "discovery", all(1, ready("a", 1)));
-        Update gone = book.say(S, "discovery", new Update(2, false, List.of(entry("a", State.GONE, 1))));
+        book.apply(0, "discovery", all(1, ready("a", 1)));
+        Update gone = book.apply(S, "discovery", new Update(2, false, List.of(entry("a", State.GONE, 1))));
         assertThat(gone.entries()).singleElement().satisfies(e -> assertThat(e.state())
                 .isEqualTo(State.GONE));
     }
@@ -97,13 +98,13 @@
     @Example
     void aSourceThatIsWithdrawnGivesUpWhatOnlyItNamed() {
         ServerListMerger book = book();
-        book.say(0, "file", all(1, ready("a", 1), ready("b", 1)));
-        book.say(0, "discovery", all(1, ready("a", 1)));
+        book.apply(0, "file", all(1, ready("a", 1), ready("b", 1)));
+        book.apply(0, "discovery", all(1, ready("a", 1)));
         book.withdraw(S, "file");
-        assertThat(byUid(book.whole()).get("a").state()).isEqualTo(State.READY);
-        assertThat(byUid(book.whole()).get("b").state()).isEqualTo(State.TERMINATING);
-        book.tick(11 * S);
-        assertThat(byUid(book.whole())).containsOnlyKeys("a");
+        assertThat(byUid(book.currentList()).get("a").state()).isEqualTo(State.READY);
+        assertThat(byUid(book.currentList()).get("b").state()).isEqualTo(State.TERMINATING);
+        book.expireGraces(11 * S);
+        assertThat(byUid(book.currentList())).containsOnlyKeys("a");
     }
 
     /** Changes, one after the other, always add up to the list; and in the end only the last word of each counts. */
@@ -130,7 +131,7 @@
                 }
             }
             if (chance.nextBoolean()) {
-                apply(told, book.say(now, source, new Update(k, true, List.copyOf(next.values()))));
+                apply(told, book.apply(now, source, new Update(k, true, List.copyOf(next.values()))));
             } else {
                 next = new LinkedHashMap<>(said.get(source));
                 for (Entry e : changed) {
@@ -140,14 +141,14 @@
                         next.put(e.uid(), e);
                     }
                 }
-                apply(told, book.say(now, source, new Update(k, false, changed)));
+                apply(told, book.apply(now, source, new Update(k, false, changed)));
             }
             said.put(source, next);
-            assertThat(told).isEqualTo(byUid(book.whole()));
+            assertThat(told).isEqualTo(byUid(book.currentList()));
         }
-        apply(told, book.tick(now + 10 * S));
+        apply(told, book.expireGraces(now + 10 * S));
         ServerListMerger plain = book();
-        said.forEach((source, entries) -> plain.say(0, source, new Update(1, true, List.copyOf(entries.values()))));
-        assertThat(told).isEqualTo(byUid(plain.whole()));
+        said.forEach((source, entries) -> plain.apply(0, source, new Update(1, true, List.copyOf(entries.values()))));
+        assertThat(told).isEqualTo(byUid(plain.currentList()));
     }
 }
--- a/src/test/java/barrowshore/module/Bench.java
+++ b/src/test/java/barrowshore/module/Bench.java
@@ -88,7 +88,7 @@
             }
             timers.remove(next);
             now = Math.max(now, next.at);
-            dispatcher.timer(now, next.token);
+            dispatcher.timerFired(now, next.token);
         }
     }
 
@@ -123,17 +123,17 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void sendToPeers(byte[] message) {
         told.add(message);
     }
 
     @Override
-    public void timer(long delay, String token) {
+    public void setTimer(long delay, String token) {
         timers.add(new Due(now + Math.max(1, delay), token));
     }
 
     @Override
-    public void watch() {
+    public void watchList() {
         actions.add("watch");
     }
 
--- a/src/test/java/barrowshore/module/EmbeddingTest.java
+++ b/src/test/java/barrowshore/module/EmbeddingTest.java
@@ -50,15 +50,15 @@
         }
 
         @Override
-        public void tell(byte[] message) {}
+        public void sendToPeers(byte[] message) {}
 
         @Override
-        public void timer(long delay, String token) {
+        public void setTimer(long delay, String token) {
             done.add("timer " + token);
         }
 
         @Override
-        public void watch() {
+        public void watchList() {
             done.add("watch");
         }
 
@@ -93,9 +93,9 @@
         Settings settings = new Settings();
         assertNames("classes", () -> new Dispatcher(settings, new Printing()));
         settings.classes = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL).classes;
-        settings.cold = 0;
+        settings.warmUpMicros = 0;
         assertNames("cold", () -> new Dispatcher(settings, new Printing()));
-        settings.cold = 1;
+        settings.warmUpMicros = 1;
         DispatchApi dispatcher = new Dispatcher(settings, new Printing());
         assertNames("jobClass", () -> dispatcher.request(0, new Request("r", 3, 0, 1, 0, 1)));
         assertNames("slots", () -> dispatcher.request(0, new Request("r", 0, 0, 0, 0, 1)));
--- a/src/test/java/barrowshore/module/FleetLoadTest.java
+++ b/src/test/java/barrowshore/module/FleetLoadTest.java
@@ -77,7 +77,7 @@
     void aBusyDispatcherAmongManyIdleOnesDoesNotTurnJobsDown() {
         Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
         set.dispatchers = 95;
-        set.reports = ReportSource.ANSWERS;
+        set.reportSource = ReportSource.ANSWERS;
         set.classes = new JobClass[] {
             new JobClass(300_000, 1.5, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0)
         };
--- a/src/test/java/barrowshore/module/PeersTest.java
+++ b/src/test/java/barrowshore/module/PeersTest.java
@@ -133,6 +133,6 @@
     /** The first byte of the halls' datagrams is their mark; no figure of ours may be taken for one. */
     @Test
     void isNotTakenForATellingOfHalls() {
-        assertThat(first.holds(SECOND, 0, 3)[0]).isNotEqualTo(barrowshore.halls.HallPolicy.MARK);
+        assertThat(first.holds(SECOND, 0, 3)[0]).isNotEqualTo(barrowshore.halls.HallPolicy.MESSAGE_TYPE);
     }
 }
--- a/src/test/java/barrowshore/module/RulesTest.java
+++ b/src/test/java/barrowshore/module/RulesTest.java
@@ -176,12 +176,12 @@
         @Test
         void aFailedListCallKeepsTheListAndAsksAgainWithinTheTimeAllowed() {
             Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
-            set.askForList = true;
+            set.pollsList = true;
             Bench bench = new Bench(set).workers(2);
             assertEquals(1, bench.count("watch"));
             for (int failures = 1; failures < 12; failures++) {
                 bench.dispatcher.list(bench.now, ListKind.FAILED, List.of());
-                bench.until(bench.now + set.askEvery);
+                bench.until(bench.now + set.listPollMicros);
                 assertEquals(1 + failures, bench.count("watch"));
             }
             assertFalse(bench.request("r") == null);
@@ -250,14 +250,14 @@
                 set.classes[0] =
                         new JobClass(work, 19, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0);
                 set.dispatchers = dispatchers;
-                set.me = d;
+                set.ownIndex = d;
                 set.seed = 77 + d;
-                long fall = set.fall, ahead = d * 7_919 % 40_000;
-                set.fall = formerWindow > 0 ? formerWindow : fall;
+                long fall = set.overloadWindowMicros, ahead = d * 7_919 % 40_000;
+                set.overloadWindowMicros = formerWindow > 0 ? formerWindow : fall;
                 Bench bench = new Bench(set);
-                set.fall = fall;
+                set.overloadWindowMicros = fall;
                 bench.now += ahead;
-                bench.dispatcher.settings(bench.now, set);
+                bench.dispatcher.changeSettings(bench.now, set);
                 Member fresh = new Member("cold", Health.READY, slots, 0, 0, 0, START);
                 bench.dispatcher.list(bench.now, ListKind.INITIAL, List.of(fresh));
                 // A request every 5 ms at each dispatcher, served in the usual time.
@@ -279,7 +279,7 @@
         Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(4);
         Member again = Bench.member("w0", Health.READY, 0, 0, bench.now);
         bench.dispatcher.list(bench.now, ListKind.CHANGES, List.of(again, again));
-        bench.dispatcher.timer(bench.now, "unwanted");
+        bench.dispatcher.timerFired(bench.now, "unwanted");
         bench.dispatcher.note(bench.now, "unknown", 3, DispatchApi.Note.STARTED, 0);
         bench.dispatcher.outcome(bench.now, "unknown", 0, false, Status.OK, 1, null);
         bench.dispatcher.clientGone(bench.now, "unknown");
--- a/src/test/java/barrowshore/module/TroubleTest.java
+++ b/src/test/java/barrowshore/module/TroubleTest.java
@@ -51,9 +51,9 @@
     private static Bench noting(RepeatSafety effect) {
         Settings set = Bench.settings(effect, DedupScope.ALL);
         set.classes = new JobClass[] {new JobClass(1_000_000, 0, 9_000_000, 1, 0, effect, DedupScope.ALL, 0, -1, 0)};
-        set.tellsStart = true;
-        set.progressEvery = 2_000_000;
-        set.secondCopies = true;
+        set.notesStart = true;
+        set.progressMicros = 2_000_000;
+        set.mayHedge = true;
         return new Bench(set).workers(3);
     }
 
--- a/src/test/java/barrowshore/net/ConnectionManagerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -115,7 +115,7 @@
         }
 
         @Override
-        public void failed(Throwable cause) {
+        public void onDialFailed(Throwable cause) {
             up.completeExceptionally(cause);
         }
     }
@@ -148,7 +148,7 @@
                 waiting.add(new Socket(LOOPBACK, server.socket().getLocalPort()));
             }
             CountDownLatch ended = new CountDownLatch(1);
-            dialer.endListening(server, ended::countDown);
+            dialer.stopListening(server, ended::countDown);
             ended.await();
             assertThat(server.isOpen()).isFalse();
             for (int k = 0; k < 3; k++) {
@@ -181,7 +181,7 @@
                     Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
                 EndPoint served = in.take();
                 CountDownLatch ended = new CountDownLatch(1);
-                dialer.endListening(server, ended::countDown);
+                dialer.stopListening(server, ended::countDown);
                 served.close();
                 // Sweeps are counted: none may pass before the descriptor is back.
                 letThePoolFinish();
@@ -362,7 +362,7 @@
                         }
 
                         @Override
-                        public void failed(Throwable cause) {
+                        public void onDialFailed(Throwable cause) {
                             failed.complete(cause);
                         }
                     }))
--- a/src/test/java/barrowshore/node/ClientGoneTest.java
+++ b/src/test/java/barrowshore/node/ClientGoneTest.java
@@ -191,8 +191,8 @@
         final Semaphore gone = new Semaphore(0);
 
         @Override
-        public void open(JobRequest request, JobRequest.Client client) {
-            module.open(request, client);
+        public void submit(JobRequest request, JobRequest.Client client) {
+            module.submit(request, client);
             opened.release();
         }
 
@@ -203,11 +203,11 @@
         }
 
         @Override
-        public void turnedAway(int jobClass) {}
+        public void countTurnedAway(int jobClass) {}
 
         @Override
-        public void ready(Consumer<Boolean> asker) {
-            module.ready(asker);
+        public void askReady(Consumer<Boolean> asker) {
+            module.askReady(asker);
         }
     }
 
@@ -320,7 +320,7 @@
                             String id = ((DispatchApi.Request) arguments[1]).id();
                             actions.send(id, id.startsWith("one") ? "s-1" : "s-2", 0);
                             if (id.contains("copied")) {
-                                actions.timer(SECOND_COPY, id);
+                                actions.setTimer(SECOND_COPY, id);
                             }
                         }
                         case "outcome" -> {
@@ -337,7 +337,7 @@
                                 actions.fail(id);
                             }
                         }
-                        case "timer" -> actions.send((String) arguments[1], "s-2", ATTEMPT_LIMIT);
+                        case "timerFired" -> actions.send((String) arguments[1], "s-2", ATTEMPT_LIMIT);
                         default -> {}
                     }
                     return null;
@@ -407,13 +407,23 @@
 
     private JobRequest direct(String id) {
         return new JobRequest(
-                id, 0, 0, 1, 0, clock.micros() + 4_000_000, JobRequest.ALWAYS, "POST", "/menu", null, new byte[] {'a'});
+                id,
+                0,
+                0,
+                1,
+                0,
+                clock.micros() + 4_000_000,
+                JobRequest.NO_REPEAT_LIMIT,
+                "POST",
+                "/menu",
+                null,
+                new byte[] {'a'});
     }
 
     /** A connection to the second worker that stands idle, ready to carry the next attempt at once. */
     private Socket idleConnection() throws Exception {
         CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-        module.open(direct("two-before"), answer::complete);
+        module.submit(direct("two-before"), answer::complete);
         Socket worker = acceptAt(TWO);
         assertThat(nextRequest(worker)).contains("X-Request-ID: two-before");
         replyDone(worker, "two-before");
@@ -429,7 +439,7 @@
     private void assertNothingBeganBeforeTheNext(String server, Socket worker) throws IOException {
         for (int k = 0; worker.getInputStream().available() == 0; k++) {
             CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-            module.open(direct(server + "-next" + k), answer::complete);
+            module.submit(direct(server + "-next" + k), answer::complete);
             while (worker.getInputStream().available() == 0 && !answer.isDone()) {
                 Thread.onSpinWait();
             }
--- a/src/test/java/barrowshore/node/LateConnectionTest.java
+++ b/src/test/java/barrowshore/node/LateConnectionTest.java
@@ -129,7 +129,7 @@
                 6, false, List.of(new ServerList.Entry("s-2", "", null, 0, 0, 0, ServerList.State.TERMINATING, 1, 0))));
         hold(dialers[0]);
         JobRequest request = keyed("gone");
-        module.open(request, answer -> {});
+        module.submit(request, answer -> {});
         module.clientGone(request);
         try (Socket accepted = accept()) {
             held.release();
@@ -137,7 +137,7 @@
             // Each waits for the answer to the one before: a mailbox that is never empty would run in its own stack.
             for (int k = 0; accepted.getInputStream().available() == 0; k++) {
                 CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-                module.open(keyed("a" + k), answer::complete);
+                module.submit(keyed("a" + k), answer::complete);
                 while (accepted.getInputStream().available() == 0 && !answer.isDone()) {
                     Thread.onSpinWait();
                 }
@@ -151,7 +151,7 @@
     @Test
     void aRepeatIsNotSentOnceItsWindowIsOver() throws Exception {
         CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-        module.open(keyed("a1"), answer::complete);
+        module.submit(keyed("a1"), answer::complete);
         try (Socket first = accept()) {
             assertThat(HttpText.firstLine(first.getInputStream())).isEqualTo("POST /menu HTTP/1.1");
             hold(dialers[first.getLocalPort() == listening[0].getLocalPort() ? 1 : 0]);
--- a/src/test/java/barrowshore/node/ReloadOperatorTest.java
+++ b/src/test/java/barrowshore/node/ReloadOperatorTest.java
@@ -32,7 +32,7 @@
     private static int halls(JobScheduler node, Supplier<Setup> next) throws Exception {
         CompletableFuture<Integer> seen = new CompletableFuture<>();
         node.reload(() -> {
-            seen.complete(node.halls().join().size());
+            seen.complete(node.hallStates().join().size());
             return next.get();
         });
         return seen.get();
--- a/src/test/java/barrowshore/operator/OperatorTest.java
+++ b/src/test/java/barrowshore/operator/OperatorTest.java
@@ -26,7 +26,7 @@
     void theExampleIsGoodAndSaysWhatTheDefaultsSay() throws IOException {
         HallRules rules = Operator.parse("f", good()).halls().rules(ZONES, 1);
         assertThat(rules)
-                .isEqualTo(HallRules.usual(ZONES, 1))
+                .isEqualTo(HallRules.defaults(ZONES, 1))
                 .isEqualTo(Operator.Halls.usual().rules(ZONES, 1));
     }
 
@@ -42,7 +42,7 @@
                         "<tier><hall name=\"hala-b\"/></tier>\n    </preference>\n    <preference",
                         "<tier><hall name=\"hala-c\"/></tier>\n    </preference>\n    <preference");
         HallRules rules = Operator.parse("f", three).halls().rules(List.of("hala-a", "hala-b", "hala-c"), 0);
-        assertThat(rules.tier()).containsExactly(0, 2, 1);
+        assertThat(rules.tiersByHall()).containsExactly(0, 2, 1);
         assertThatThrownBy(() -> Operator.parse("f", three).halls().rules(ZONES, 0))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("hala-c");
--- a/src/test/java/barrowshore/peer/PeerMessengerTest.java
+++ b/src/test/java/barrowshore/peer/PeerMessengerTest.java
@@ -26,7 +26,7 @@
 
     private static boolean othersServe(PeerMessenger side) {
         CompletableFuture<Boolean> answer = new CompletableFuture<>();
-        side.ending(answer::complete);
+        side.announceEnd(answer::complete);
         return answer.join();
     }
 
@@ -47,8 +47,8 @@
                     Runnable::run,
                     new Clock(0, time::get),
                     (from, message) -> heard.add(from + " " + HexFormat.of().formatHex(message)));
-            side.tell(new byte[257]); // not sent: a longer one is forbidden
-            side.tell(new byte[] {1, 2, 3});
+            side.broadcast(new byte[257]); // not sent: a longer one is forbidden
+            side.broadcast(new byte[] {1, 2, 3});
             DatagramPacket in = new DatagramPacket(new byte[300], 300);
             peer.receive(in);
             assertThat(HexFormat.of().formatHex(in.getData(), 0, in.getLength()))
--- a/src/test/java/barrowshore/servers/ServerTest.java
+++ b/src/test/java/barrowshore/servers/ServerTest.java
@@ -63,11 +63,12 @@
         @Override
         public JobRequest request() {
             return new JobRequest(
-                    id, 0, -1, 1, 0, Long.MAX_VALUE, JobRequest.ALWAYS, "POST", "/menu", null, new byte[] {'a'});
+                    id, 0, -1, 1, 0, Long.MAX_VALUE, JobRequest.NO_REPEAT_LIMIT, "POST", "/menu", null, new byte[] {'a'
+                    });
         }
 
         @Override
-        public long left() {
+        public long timeLeftMicros() {
             return 1_000_000;
         }
 
@@ -86,10 +87,10 @@
         }
 
         @Override
-        public void written() {}
+        public void requestWritten() {}
 
         @Override
-        public void noted(Note note, double share) {}
+        public void noteReceived(Note note, double share) {}
 
         @Override
         public void ended(Status status, Load load, byte[] result) {
@@ -162,7 +163,7 @@
         holdConnections();
         Attempt attempt = new Attempt("a1");
         server.send(attempt);
-        server.gone();
+        server.unlisted();
         held.release();
         assertThat(attempt.end.get()).isEqualTo(Status.NOT_SENT);
         assertThat(carried()).isEmpty();
@@ -174,7 +175,7 @@
         holdConnections();
         Attempt attempt = new Attempt("a1");
         server.send(attempt);
-        server.withdraw(attempt);
+        server.cancelIfUnsent(attempt);
         assertThat(attempt.end.get()).as("at once").isEqualTo(Status.NOT_SENT);
         try (Socket accepted = listening.accept()) {
             held.release();
@@ -199,7 +200,7 @@
         server.send(attempt);
         try (Socket accepted = listening.accept()) {
             assertThat(HttpText.firstLine(accepted.getInputStream())).isEqualTo("POST /menu HTTP/1.1");
-            server.withdraw(attempt);
+            server.cancelIfUnsent(attempt);
             accepted.getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n"
                                     + "{\"id\":\"a1\",\"state\":\"done\",\"result\":\"one\"} \n")
--- a/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
+++ b/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
@@ -102,7 +102,7 @@
         return new Update(
                 5,
                 true,
-                ServerList.read((java.util.Map<?, ?>) barrowshore.wire.Json.parse(list(5, true, "Ready")), NAMES)
+                ServerList.parse((java.util.Map<?, ?>) barrowshore.wire.Json.parse(list(5, true, "Ready")), NAMES)
                         .entries());
     }
 
@@ -235,7 +235,7 @@
     @Test
     void norAfterAMoveWhileTheFormerListIsInUse() throws Exception {
         watching(GRACE);
-        client.move(elsewhere.address());
+        client.setAddress(elsewhere.address());
         Call call = refusedForLong(elsewhere);
         call.target();
         call.refuse("3600");
@@ -425,7 +425,7 @@
     @Test
     void aWholeListThatComesInPiecesIsReadToItsEnd() throws Exception {
         start(known(), GRACE);
-        client.move(elsewhere.address());
+        client.setAddress(elsewhere.address());
         Call call = called(elsewhere);
         assertThat(call.target()).isEqualTo("/api/targets");
         String list = list(3, true, "Terminating").replace(",", ",\n  ");
@@ -449,7 +449,7 @@
     @Test
     void aWholeListThatNeverEndsIsAskedForAnew() throws Exception {
         Call watch = watching(GRACE);
-        client.move(elsewhere.address());
+        client.setAddress(elsewhere.address());
         Call call = called(elsewhere);
         call.target();
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -477,7 +477,7 @@
     void aMoveDuringADialThatIsStillOpenIsMadeAtOnce() throws Exception {
         here.fillQueue();
         start(known(), GRACE);
-        client.move(elsewhere.address());
+        client.setAddress(elsewhere.address());
         long since = time.millis();
         Call call = elsewhere.poll();
         assertThat(call).isNotNull();
@@ -498,7 +498,7 @@
         call.target();
         call.refuse("3600");
         ended(call);
-        client.move(elsewhere.address());
+        client.setAddress(elsewhere.address());
         long since = time.millis();
         Call moved = called(elsewhere);
         tellDrain(moved, 3);
@@ -510,7 +510,7 @@
         start(NO_LIST, GRACE);
         Call former = called(here);
         former.target();
-        client.move(elsewhere.address());
+        client.setAddress(elsewhere.address());
         Call call = called(elsewhere);
         call.target(); // never answered
         former.refuse("3600");
--- a/src/test/java/barrowshore/status/ServiceStateTest.java
+++ b/src/test/java/barrowshore/status/ServiceStateTest.java
@@ -5,44 +5,44 @@
 import org.junit.jupiter.api.Test;
 
 class ServiceStateTest {
-    private static final ServiceState SERVING = ServiceState.SERVING, AWAY = SERVING.sendAway(), ENDING = SERVING.end();
+    private static final ServiceState SERVING = ServiceState.SERVING, AWAY = SERVING.drain(), ENDING = SERVING.end();
 
     @Test
     void clientsSentAwayAreTurnedFromAtOnceAndComeBack() {
-        assertThat(SERVING.welcomes()).isTrue();
-        assertThat(SERVING.lastAnswers()).isFalse();
-        assertThat(AWAY.welcomes()).isFalse();
-        assertThat(AWAY.lastAnswers()).isTrue();
-        assertThat(AWAY.activate().welcomes()).isTrue();
-        assertThat(AWAY.activate().lastAnswers()).isFalse();
+        assertThat(SERVING.acceptsClients()).isTrue();
+        assertThat(SERVING.closesAfterAnswer()).isFalse();
+        assertThat(AWAY.acceptsClients()).isFalse();
+        assertThat(AWAY.closesAfterAnswer()).isTrue();
+        assertThat(AWAY.activate().acceptsClients()).isTrue();
+        assertThat(AWAY.activate().closesAfterAnswer()).isFalse();
     }
 
     @Test
     void aVerbSaidTwiceChangesNothingMore() {
-        assertThat(AWAY.sendAway()).isSameAs(AWAY);
+        assertThat(AWAY.drain()).isSameAs(AWAY);
         assertThat(SERVING.activate()).isSameAs(SERVING);
         assertThat(ENDING.end()).isSameAs(ENDING);
-        assertThat(ENDING.letGo().letGo()).isEqualTo(ENDING.letGo());
+        assertThat(ENDING.closeConnections().closeConnections()).isEqualTo(ENDING.closeConnections());
     }
 
     @Test
     void whatWasSetForAnEarlierTurnIsKnownByItsNumber() {
-        assertThat(AWAY.activate().sendAway().turn()).isNotEqualTo(AWAY.turn());
+        assertThat(AWAY.activate().drain().changeCount()).isNotEqualTo(AWAY.changeCount());
     }
 
     @Test
     void anEndIsForGoodAndKeepsThoseAwayWhoWereSentAway() {
-        assertThat(ENDING.activate().ending()).isTrue();
-        assertThat(ENDING.sendAway()).isSameAs(ENDING);
-        assertThat(ENDING.lastAnswers()).isFalse();
-        assertThat(ENDING.letGo().lastAnswers()).isTrue();
-        assertThat(AWAY.end().activate().welcomes()).isFalse();
-        assertThat(AWAY.end().lastAnswers()).isTrue();
+        assertThat(ENDING.activate().isEnding()).isTrue();
+        assertThat(ENDING.drain()).isSameAs(ENDING);
+        assertThat(ENDING.closesAfterAnswer()).isFalse();
+        assertThat(ENDING.closeConnections().closesAfterAnswer()).isTrue();
+        assertThat(AWAY.end().activate().acceptsClients()).isFalse();
+        assertThat(AWAY.end().closesAfterAnswer()).isTrue();
     }
 
     @Test
     void onlyAnEndLetsGo() {
-        assertThat(SERVING.letGo()).isSameAs(SERVING);
-        assertThat(AWAY.letGo()).isSameAs(AWAY);
+        assertThat(SERVING.closeConnections()).isSameAs(SERVING);
+        assertThat(AWAY.closeConnections()).isSameAs(AWAY);
     }
 }
--- a/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
+++ b/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
@@ -38,17 +38,17 @@
         }
 
         @Override
-        public void told(boolean before, String line) {
+        public void lineReceived(boolean before, String line) {
             heard.add((before ? "before: " : "after: ") + line);
         }
 
         @Override
-        public void joined() {
+        public void successorConnected() {
             heard.add("joined");
         }
 
         @Override
-        public void left(boolean before) {
+        public void linkClosed(boolean before) {
             heard.add("left " + before);
         }
     }
@@ -56,13 +56,13 @@
     @Test
     void twoProcessesTellEachOtherAndHearOfAnEnd() throws Exception {
         Process first = new Process();
-        assertThat(first.twin.found()).isFalse();
+        assertThat(first.twin.foundPredecessor()).isFalse();
         Process second = new Process();
-        assertThat(second.twin.found()).isTrue();
+        assertThat(second.twin.foundPredecessor()).isTrue();
         assertThat(first.heard.take()).isEqualTo("joined");
-        second.twin.tell(true, "serving");
+        second.twin.send(true, "serving");
         assertThat(first.heard.take()).isEqualTo("after: serving");
-        first.twin.tell(false, "away");
+        first.twin.send(false, "away");
         assertThat(second.heard.take()).isEqualTo("before: away");
         first.twin.stop();
         assertThat(second.heard.take()).isEqualTo("left true");
@@ -76,7 +76,7 @@
         second.twin.stop();
         assertThat(first.heard.take()).isEqualTo("left false");
         Process third = new Process();
-        assertThat(third.twin.found()).isTrue();
+        assertThat(third.twin.foundPredecessor()).isTrue();
         assertThat(first.heard.take()).isEqualTo("joined");
     }
 
@@ -87,16 +87,17 @@
         }
         assertThat(Files.exists(folder.resolve("t"))).isTrue();
         Process first = new Process();
-        assertThat(first.twin.found()).isFalse();
-        assertThat(new UpgradeLink(folder.resolve("t"), pool, first).found()).isTrue();
+        assertThat(first.twin.foundPredecessor()).isFalse();
+        assertThat(new UpgradeLink(folder.resolve("t"), pool, first).foundPredecessor())
+                .isTrue();
     }
 
     @Test
     void aFolderThatCannotBeUsedKeepsNobodyFromStarting() {
         UpgradeLink twin = new UpgradeLink(folder.resolve("none").resolve("x".repeat(200)), pool, null);
-        assertThat(twin.found()).isFalse();
+        assertThat(twin.foundPredecessor()).isFalse();
         twin.start();
-        twin.tell(false, "away");
+        twin.send(false, "away");
         twin.stop();
     }
 }
