--- a/src/main/java/barrowshore/rivals/Rival.java
+++ b/src/main/java/barrowshore/baseline/BaselineDispatcher.java
@@ -1,4 +1,4 @@
-package barrowshore.rivals;
+package barrowshore.baseline;
 
 import barrowshore.module.DispatchApi;
 import java.util.ArrayList;
@@ -15,9 +15,9 @@
  * starts), and send again what may go again; they never turn a job down that has a worker to go to. They must never be
  * put in service, nor lean on anything that the module knows. Pure: time and chance come from the caller.
  */
-public final class Rival implements DispatchApi {
+public final class BaselineDispatcher implements DispatchApi {
     /** The rules by which one is chosen. */
-    public enum Rule {
+    public enum Policy {
         RANDOM,
         ROUND_ROBIN,
         LEAST_IN_FLIGHT,
@@ -27,7 +27,7 @@
     }
 
     /** A cost of sending a job of so many slots to a worker, of one who sees more than a scheduler does. */
-    public interface Sight {
+    public interface OracleCost {
         double cost(String worker, double slots);
     }
 
@@ -67,18 +67,19 @@
         }
     }
 
-    private final Rule rule;
+    private final Policy rule;
     private final Settings set;
     private final Actions act;
     private final DoubleSupplier chance;
-    private final Sight sight;
+    private final OracleCost sight;
     private final Map<String, Known> workers = new LinkedHashMap<>();
     private final Map<String, Open> jobs = new HashMap<>();
     private int next;
     private int probeNext;
 
-    /** chance: numbers from 0 to 1; sight: for {@link Rule#TRUE_STATE} alone. */
-    public Rival(Rule rule, Settings settings, Actions actions, DoubleSupplier chance, Sight sight) {
+    /** chance: numbers from 0 to 1; sight: for {@link Policy#TRUE_STATE} alone. */
+    public BaselineDispatcher(
+            Policy rule, Settings settings, Actions actions, DoubleSupplier chance, OracleCost sight) {
         this.rule = rule;
         this.set = settings;
         this.act = actions;
@@ -112,7 +113,10 @@
         Open job = new Open(request, set.classes[request.jobClass()], now + request.timeLeftMicros());
         jobs.put(request.id(), job);
         dispatch(now, job);
-        if (set.mayProbe && set.reportSource == ReportSource.PROBES && rule == Rule.TWO_CHOICES && !workers.isEmpty()) {
+        if (set.mayProbe
+                && set.reportSource == ReportSource.PROBES
+                && rule == Policy.TWO_CHOICES
+                && !workers.isEmpty()) {
             List<Known> all = new ArrayList<>(workers.values());
             Known w = all.get(probeNext++ % all.size());
             if (ready(w) && warmth(now, w) >= 1) {
--- a/src/main/java/barrowshore/capacity/CapacityReport.java
+++ b/src/main/java/barrowshore/capacity/CapacityReport.java
@@ -14,9 +14,9 @@
             + "metric,unit,median,min,max,fit_intercept,fit_slope,fit_residual,fit_at_base,limit\n";
     private static final int LABEL_WIDTH = 48, CELL_WIDTH = 11;
 
-    private final PlayOptions options;
+    private final SimulationOptions options;
 
-    CapacityReport(PlayOptions options) {
+    CapacityReport(SimulationOptions options) {
         this.options = options;
     }
 
--- a/src/main/java/barrowshore/capacity/CapacityRun.java
+++ b/src/main/java/barrowshore/capacity/CapacityRun.java
@@ -17,10 +17,10 @@
     private static final FleetSize SMALL = FleetSize.target().withWorkers(96);
 
     private final FleetSize base;
-    private final PlayOptions options;
+    private final SimulationOptions options;
     private final Map<FleetSize, FleetMeasurement> measured = new LinkedHashMap<>();
 
-    private CapacityRun(FleetSize base, PlayOptions options) {
+    private CapacityRun(FleetSize base, SimulationOptions options) {
         this.base = base;
         this.options = options;
     }
@@ -30,12 +30,12 @@
      *
      * @return whether every figure at the base size is within its limit
      */
-    public static boolean run(PrintStream out, FleetSize base, PlayOptions options, List<Sweep> sweeps, Path csv)
+    public static boolean run(PrintStream out, FleetSize base, SimulationOptions options, List<Sweep> sweeps, Path csv)
             throws IOException {
-        options.check();
+        options.validate();
         long heap = Runtime.getRuntime().maxMemory();
-        base.check(heap);
-        sweeps.forEach(sweep -> sweep.fleets(base).forEach(fleet -> fleet.check(heap)));
+        base.validate(heap);
+        sweeps.forEach(sweep -> sweep.fleets(base).forEach(fleet -> fleet.validate(heap)));
         if (csv != null) {
             requireWritable(csv);
         }
--- a/src/main/java/barrowshore/capacity/FleetCost.java
+++ b/src/main/java/barrowshore/capacity/FleetCost.java
@@ -18,7 +18,7 @@
 
     static FleetCost of(
             FleetSize size,
-            PlayOptions options,
+            SimulationOptions options,
             List<PlayedScheduler> schedulers,
             FleetPlay.EffortReading visits,
             FleetPlay.Workload workload) {
--- a/src/main/java/barrowshore/capacity/FleetPlay.java
+++ b/src/main/java/barrowshore/capacity/FleetPlay.java
@@ -1,6 +1,6 @@
 package barrowshore.capacity;
 
-import barrowshore.emulate.Kernel;
+import barrowshore.emulate.VirtualClock;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
@@ -36,8 +36,8 @@
     private static final double QUOTA_CHANGE = 0.1;
 
     private final FleetSize size;
-    private final PlayOptions options;
-    private final Kernel kernel = new Kernel(START);
+    private final SimulationOptions options;
+    private final VirtualClock kernel = new VirtualClock(START);
     private final Arrivals arrivals;
     private final UniformRandomProvider random;
     private final UniformRandomProvider changes;
@@ -54,7 +54,7 @@
     private int replacements;
     private int settingsChanges;
 
-    FleetPlay(FleetSize size, PlayOptions options) {
+    FleetPlay(FleetSize size, SimulationOptions options) {
         this.size = size;
         this.options = options;
         arrivals = new Arrivals(size, options.seed());
@@ -113,18 +113,18 @@
     FleetCost play() {
         List<Member> whole = listed.stream().map(w -> w.entry(Health.READY)).toList();
         schedulers.forEach(s -> s.start(whole));
-        kernel.after(1, this::fill);
-        kernel.after(1, this::arrive);
+        kernel.runAfter(1, this::fill);
+        kernel.runAfter(1, this::arrive);
         every(size.listChangesPerSecond(), this::replaceOne);
         every(size.settingsChangesPerSecond(), this::changeSettings);
-        kernel.run(START + WARM_UP_SECONDS * S);
+        kernel.runUntil(START + WARM_UP_SECONDS * S);
         List<EffortReading> before =
                 schedulers.stream().map(s -> EffortReading.of(s.effort())).toList();
         schedulers.forEach(PlayedScheduler::reset);
         measuring = true;
         long running = 0;
         for (int second = 1; second <= options.seconds(); second++) {
-            kernel.run(START + (WARM_UP_SECONDS + second) * S);
+            kernel.runUntil(START + (WARM_UP_SECONDS + second) * S);
             running += workers.values().stream().mapToInt(PlayedWorker::running).sum();
         }
         EffortReading visits = EffortReading.NONE;
@@ -147,13 +147,13 @@
         double rate = size.runningTasks() / FILL_SECONDS;
         if (kernel.now() < START + FILL_SECONDS * S) {
             request(arrivals.underWay());
-            kernel.after(arrivals.pause(rate), this::fill);
+            kernel.runAfter(arrivals.pause(rate), this::fill);
         }
     }
 
     private void arrive() {
         request(arrivals.next());
-        kernel.after(arrivals.pause(size.startsPerSecond()), this::arrive);
+        kernel.runAfter(arrivals.pause(size.startsPerSecond()), this::arrive);
     }
 
     private void request(Arrivals.Arrival arrival) {
@@ -164,13 +164,13 @@
     private void every(double perSecond, Runnable change) {
         if (perSecond > 0) {
             long interval = (long) (S / perSecond);
-            kernel.after(interval / 2, () -> repeat(interval, change));
+            kernel.runAfter(interval / 2, () -> repeat(interval, change));
         }
     }
 
     private void repeat(long interval, Runnable change) {
         change.run();
-        kernel.after(interval, () -> repeat(interval, change));
+        kernel.runAfter(interval, () -> repeat(interval, change));
     }
 
     /** By turns a machine drains, and the one that drained longest ago makes room for another of another name. */
@@ -178,7 +178,7 @@
         PlayedWorker old = listed.remove(changes.nextInt(listed.size()));
         list(List.of(old.entry(Health.DRAINING)));
         PlayedWorker next = old.replacement("replacement-" + ++replacements);
-        kernel.after(DRAIN, () -> {
+        kernel.runAfter(DRAIN, () -> {
             join(next);
             list(List.of(old.entry(Health.GONE), next.entry(Health.READY)));
         });
@@ -188,7 +188,7 @@
     private void list(List<Member> entries) {
         long late = between(260, 1_800);
         for (PlayedScheduler s : schedulers) {
-            kernel.after(late + between(13, 110), () -> s.list(ListKind.CHANGES, entries));
+            kernel.runAfter(late + between(13, 110), () -> s.list(ListKind.CHANGES, entries));
         }
     }
 
@@ -197,7 +197,7 @@
         quotas[settingsChanges % quotas.length] *= 1 + QUOTA_CHANGE * (1 + settingsChanges % 2);
         settingsChanges++;
         for (PlayedScheduler s : schedulers) {
-            kernel.after(between(13, 110), () -> s.quotas(quotas));
+            kernel.runAfter(between(13, 110), () -> s.quotas(quotas));
         }
     }
 
@@ -231,7 +231,7 @@
 
     /** Each datagram takes its own time, so that they overtake one another. */
     private void deliver(int from, PlayedScheduler to, byte[] message) {
-        kernel.after(between(1, 10), () -> to.heard(from, message));
+        kernel.runAfter(between(1, 10), () -> to.heard(from, message));
     }
 
     @Override
--- a/src/main/java/barrowshore/capacity/FleetSize.java
+++ b/src/main/java/barrowshore/capacity/FleetSize.java
@@ -81,7 +81,7 @@
     }
 
     /** Throws a {@link ConfigException} that names the first size that cannot be played in so much memory. */
-    public void check(long heapBytes) {
+    public void validate(long heapBytes) {
         require("--workers", workers, MOST_WORKERS);
         require("--schedulers", schedulers, MOST_SCHEDULERS);
         require("--starts", startsPerSecond, MOST_STARTS);
--- a/src/main/java/barrowshore/capacity/PlayedScheduler.java
+++ b/src/main/java/barrowshore/capacity/PlayedScheduler.java
@@ -1,6 +1,6 @@
 package barrowshore.capacity;
 
-import barrowshore.emulate.Kernel;
+import barrowshore.emulate.VirtualClock;
 import barrowshore.module.DispatchApi;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Member;
@@ -50,7 +50,7 @@
     final int zone;
     final CallMeter meter;
     final DatagramCount datagrams = new DatagramCount();
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final Fleet fleet;
     private final Settings settings;
     private Dispatcher module;
@@ -59,7 +59,7 @@
     private int requests;
     private long entriesApplied;
 
-    PlayedScheduler(int number, int zone, Settings settings, CallMeter meter, Kernel kernel, Fleet fleet) {
+    PlayedScheduler(int number, int zone, Settings settings, CallMeter meter, VirtualClock kernel, Fleet fleet) {
         this.number = number;
         this.zone = zone;
         this.settings = settings;
@@ -180,7 +180,7 @@
         }
 
         void send() {
-            kernel.after(WAYS_TO_SEND * fleet.way(zone, worker.zone), () -> worker.offer(this));
+            kernel.runAfter(WAYS_TO_SEND * fleet.way(zone, worker.zone), () -> worker.offer(this));
         }
 
         private void end(Status status) {
@@ -200,7 +200,7 @@
         }
 
         private void back(Runnable run) {
-            kernel.after(fleet.way(worker.zone, zone), run);
+            kernel.runAfter(fleet.way(worker.zone, zone), run);
         }
 
         private void note(Note note, double share) {
@@ -281,7 +281,7 @@
     public void cancel(String id, int attempt) {
         ordered.add(() -> {
             Attempt called = open.get(id).attempts.get(attempt);
-            kernel.after(0, () -> called.end(Status.CANCELLED));
+            kernel.runAfter(0, () -> called.end(Status.CANCELLED));
         });
     }
 
@@ -303,7 +303,7 @@
 
     @Override
     public void setTimer(long delay, String token) {
-        ordered.add(() -> kernel.after(
+        ordered.add(() -> kernel.runAfter(
                 Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timerFired(kernel.now(), token))));
     }
 
--- a/src/main/java/barrowshore/capacity/PlayedWorker.java
+++ b/src/main/java/barrowshore/capacity/PlayedWorker.java
@@ -1,6 +1,6 @@
 package barrowshore.capacity;
 
-import barrowshore.emulate.Kernel;
+import barrowshore.emulate.VirtualClock;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.Load;
 import barrowshore.module.DispatchApi.Member;
@@ -35,11 +35,11 @@
     final int zone;
     private final int cell;
     private final int slots;
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final ArrayDeque<Task> waiting = new ArrayDeque<>(0);
     private int running;
 
-    PlayedWorker(String id, int zone, int cell, int slots, Kernel kernel) {
+    PlayedWorker(String id, int zone, int cell, int slots, VirtualClock kernel) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
@@ -72,9 +72,9 @@
         long work = Math.max(1, task.work());
         for (long at = PROGRESS_EVERY; at < work; at += PROGRESS_EVERY) {
             double share = at / (double) work;
-            kernel.after(at, () -> task.progress(share));
+            kernel.runAfter(at, () -> task.progress(share));
         }
-        kernel.after(work, () -> end(task));
+        kernel.runAfter(work, () -> end(task));
     }
 
     private void end(Task task) {
--- a/src/main/java/barrowshore/capacity/PlayOptions.java
+++ b/src/main/java/barrowshore/capacity/SimulationOptions.java
@@ -15,7 +15,7 @@
  * @param guesses whether tasks come with a guess at their work; without, a fleet takes longer than the warm-up to settle,
  *     since the first tasks that end are short and their workers look fast
  */
-public record PlayOptions(
+public record SimulationOptions(
         int seconds,
         long seed,
         int plays,
@@ -27,8 +27,8 @@
     private static final int MOST_SECONDS = 3_600, MOST_PLAYS = 100;
 
     /** Counts alone, once, without a fault between the schedulers. */
-    public static PlayOptions countsOnly(int seconds, long seed) {
-        return new PlayOptions(seconds, seed, 1, false, 0, 0, false, true);
+    public static SimulationOptions countsOnly(int seconds, long seed) {
+        return new SimulationOptions(seconds, seed, 1, false, 0, 0, false, true);
     }
 
     /** Counts are the same in each play, so that one is enough for them. */
@@ -37,7 +37,7 @@
     }
 
     /** Throws a {@link ConfigException} that names the first option that cannot be played. */
-    public void check() {
+    public void validate() {
         require("--seconds", seconds, MOST_SECONDS);
         require("--plays", plays, MOST_PLAYS);
         requireShare("--loss", loss);
--- a/src/main/java/barrowshore/capacity/SizeOption.java
+++ b/src/main/java/barrowshore/capacity/SizeOption.java
@@ -24,7 +24,7 @@
     }
 
     /** The number as an int, or a {@link ConfigException} where it is a fraction or far too large. */
-    public static int whole(String option, double value) {
+    public static int toWholeNumber(String option, double value) {
         if (value != Math.rint(value) || Math.abs(value) > Integer.MAX_VALUE) {
             throw new ConfigException(option + " must be a whole number of a size that can be played, not " + value);
         }
--- a/src/main/java/barrowshore/capacity/Sweep.java
+++ b/src/main/java/barrowshore/capacity/Sweep.java
@@ -51,7 +51,7 @@
     }
 
     /** The sweeps of some names with commas between them, {@code all}, or {@code none}. */
-    public static List<Sweep> named(String names) {
+    public static List<Sweep> parseNames(String names) {
         if (names.equals("all")) {
             return List.of(values());
         }
--- a/src/main/java/barrowshore/capacity/hollow/ProcessUsage.java
+++ b/src/main/java/barrowshore/capacity/simulated/ProcessUsage.java
@@ -1,4 +1,4 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/barrowshore/capacity/hollow/ProcessorMeter.java
+++ b/src/main/java/barrowshore/capacity/simulated/ProcessorMeter.java
@@ -1,4 +1,4 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/main/java/barrowshore/capacity/hollow/HollowFleet.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedFleet.java
@@ -1,13 +1,13 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
-import barrowshore.capacity.hollow.HollowRow.Role;
-import barrowshore.capacity.hollow.ProcessorMeter.Part;
+import barrowshore.capacity.simulated.HollowRow.Role;
+import barrowshore.capacity.simulated.ProcessorMeter.Part;
 import barrowshore.config.Config;
-import barrowshore.fleet.Instance;
-import barrowshore.fleet.PeerHub;
+import barrowshore.fleet.PeerNetwork;
+import barrowshore.fleet.SchedulerProcess;
 import barrowshore.standin.StandInDiscovery;
-import barrowshore.standin.StandInFront;
-import barrowshore.standin.StandInNode;
+import barrowshore.standin.StandInListener;
+import barrowshore.standin.StandInWorker;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -28,7 +28,7 @@
  * everything that it starts and ends each process by its id, also when this one is told to end. It must never listen
  * elsewhere than on loopback, nor start a scheduler under a number that another one has.
  */
-final class HollowFleet implements AutoCloseable {
+final class SimulatedFleet implements AutoCloseable {
     private static final int MOST_CONNECTIONS = 15_000, STAND_IN_THREADS = 4;
     /** Real schedulers that start at once: each keeps a core busy for a second. */
     private static final int WAVE = 2;
@@ -41,7 +41,7 @@
     /** Lengths of tasks against their mean, evenly drawn. */
     private static final double SHORTEST = 0.5, LONGEST = 1.5;
 
-    private final HollowPlan plan;
+    private final SimulatedFleetPlan plan;
     private final double taskSeconds;
     private final SplittableRandom chance;
     private final ExecutorService pool = Executors.newFixedThreadPool(STAND_IN_THREADS, run -> {
@@ -50,14 +50,14 @@
         return thread;
     });
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final StandInFront front;
-    private final PeerHub hub;
+    private final StandInListener front;
+    private final PeerNetwork hub;
     private final TaskClients clients;
     private final List<StandInDiscovery> discoveries = new ArrayList<>();
-    private final Map<String, StandInNode> workers = new LinkedHashMap<>();
-    private final List<StandInNode> workerList = new ArrayList<>();
-    private final List<Instance> real = new ArrayList<>();
-    private final HollowScheduler[] hollow;
+    private final Map<String, StandInWorker> workers = new LinkedHashMap<>();
+    private final List<StandInWorker> workerList = new ArrayList<>();
+    private final List<SchedulerProcess> real = new ArrayList<>();
+    private final SimulatedScheduler[] hollow;
     private final int[] lives;
     private final long[] starts;
     /** Processor time of a replaced scheduler's former lives: all of it, and that for requests. */
@@ -72,11 +72,11 @@
      * Starts workers, discovery and the network. folder: for the real schedulers' logs and configurations; taskSeconds: mean
      * length of a task.
      */
-    HollowFleet(HollowPlan plan, Path folder, Path deploy, long seed, double taskSeconds) throws Exception {
+    SimulatedFleet(SimulatedFleetPlan plan, Path folder, Path deploy, long seed, double taskSeconds) throws Exception {
         this.plan = plan;
         this.taskSeconds = taskSeconds;
         chance = new SplittableRandom(seed);
-        hollow = new HollowScheduler[plan.schedulers()];
+        hollow = new SimulatedScheduler[plan.schedulers()];
         lives = new int[plan.schedulers()];
         starts = new long[plan.schedulers()];
         formerNanos = new long[plan.schedulers()];
@@ -87,14 +87,14 @@
         }
         Runtime.getRuntime().addShutdownHook(ending);
         timers.start();
-        front = new StandInFront(pool, timers, MOST_CONNECTIONS);
-        hub = new PeerHub(plan.schedulers(), 0, seed);
+        front = new StandInListener(pool, timers, MOST_CONNECTIONS);
+        hub = new PeerNetwork(plan.schedulers(), 0, seed);
         clients = new TaskClients(plan.schedulers());
         for (int k = 0; k < plan.schedulers(); k++) {
             discoveries.add(new StandInDiscovery(front, pool, timers));
         }
         for (int w = 0; w < plan.workers(); w++) {
-            StandInNode node = new StandInNode(
+            StandInWorker node = new StandInWorker(
                     "w-" + w,
                     TargetSite.worker(),
                     TargetSite.falling(taskSeconds),
@@ -106,24 +106,24 @@
             workerList.add(node);
             tell(w, "Ready", 0);
         }
-        List<String> command = Instance.command(deploy);
+        List<String> command = SchedulerProcess.launchCommand(deploy);
         for (int k = 0; k < plan.real(); k++) {
-            real.add(new Instance(k, folder, command));
+            real.add(new SchedulerProcess(k, folder, command));
         }
     }
 
     private void tell(int worker, String state, long boot) {
-        StandInNode node = workerList.get(worker);
+        StandInWorker node = workerList.get(worker);
         String zone = TargetSite.ZONES.get(worker % TargetSite.ZONES.size());
         for (StandInDiscovery each : discoveries) {
-            each.tell(node.uid(), node.address(), zone, TargetSite.MODEL, TargetSite.SLOTS, state, boot);
+            each.publish(node.uid(), node.address(), zone, TargetSite.MODEL, TargetSite.SLOTS, state, boot);
         }
     }
 
     private String configuration(int k) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (int p = 0; p < plan.schedulers(); p++) {
-            peers.add(hub.door(p));
+            peers.add(hub.publicAddress(p));
         }
         return TargetSite.configuration(
                 k,
@@ -131,21 +131,21 @@
                 edition,
                 plan.starts(),
                 new TargetSite.Addresses(
-                        k < real.size() ? real.get(k).address() : hub.listen(k),
+                        k < real.size() ? real.get(k).address() : hub.listenAddress(k),
                         discoveries.get(k).address(),
-                        hub.listen(k),
+                        hub.listenAddress(k),
                         peers,
-                        hub.all()));
+                        hub.broadcastAddress()));
     }
 
     /** Starts all schedulers, a few real ones at a time, and waits until each has its list. */
     void start() throws Exception {
         for (int from = 0; from < real.size(); from += WAVE) {
-            List<Instance> wave = real.subList(from, Math.min(real.size(), from + WAVE));
-            for (Instance one : wave) {
+            List<SchedulerProcess> wave = real.subList(from, Math.min(real.size(), from + WAVE));
+            for (SchedulerProcess one : wave) {
                 one.start(configuration(one.number()));
             }
-            for (Instance one : wave) {
+            for (SchedulerProcess one : wave) {
                 one.awaitReady();
             }
         }
@@ -155,7 +155,7 @@
     }
 
     private void startHollow(int k) throws Exception {
-        hollow[k] = HollowScheduler.start(Config.parse(configuration(k)), workers);
+        hollow[k] = SimulatedScheduler.start(Config.parse(configuration(k)), workers);
         hollow[k].ready().get(READY_SECONDS, TimeUnit.SECONDS);
     }
 
@@ -225,7 +225,7 @@
     private void replaceReal(int k) throws Exception {
         roles[k] = Role.REAL_REPLACED;
         endLife(k);
-        real.get(k).end();
+        real.get(k).stop();
         real.get(k).start(configuration(k));
         real.get(k).awaitReady();
     }
@@ -258,7 +258,7 @@
         }
     }
 
-    HollowScheduler hollow(int k) {
+    SimulatedScheduler hollow(int k) {
         return hollow[k];
     }
 
@@ -271,7 +271,7 @@
             long nanos,
             long requestNanos,
             ProcessUsage process,
-            PeerHub.Traffic peers,
+            PeerNetwork.Traffic peers,
             StandInDiscovery.Traffic discovery,
             long starts) {}
 
@@ -305,14 +305,14 @@
                 to.process().files(),
                 (to.peers().sent() - from.peers().sent()) / seconds,
                 (to.peers().sentBytes() - from.peers().sentBytes()) / seconds,
-                (to.peers().brought() - from.peers().brought()) / seconds,
-                (to.peers().broughtBytes() - from.peers().broughtBytes()) / seconds,
+                (to.peers().delivered() - from.peers().delivered()) / seconds,
+                (to.peers().deliveredBytes() - from.peers().deliveredBytes()) / seconds,
                 (to.discovery().bytes() - from.discovery().bytes()) / seconds,
                 (to.starts() - from.starts()) / seconds);
     }
 
     private void endProcesses() {
-        real.stream().filter(Instance::alive).forEach(Instance::kill);
+        real.stream().filter(SchedulerProcess::isAlive).forEach(SchedulerProcess::kill);
     }
 
     @Override
@@ -322,20 +322,20 @@
         }
         endProcesses();
         try {
-            for (Instance one : real) {
-                one.end();
+            for (SchedulerProcess one : real) {
+                one.stop();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt(); // they have been killed and go by themselves
         }
-        for (HollowScheduler one : hollow) {
+        for (SimulatedScheduler one : hollow) {
             if (one != null) {
                 one.close();
             }
         }
         clients.close();
         discoveries.forEach(StandInDiscovery::stop);
-        workerList.forEach(StandInNode::stop);
+        workerList.forEach(StandInWorker::stop);
         front.stop();
         hub.close();
         LifeCycle.stop(timers);
--- a/src/main/java/barrowshore/capacity/hollow/HollowPlan.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedFleetPlan.java
@@ -1,4 +1,4 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
 import barrowshore.config.ConfigException;
 import java.io.IOException;
@@ -13,7 +13,7 @@
  * many seconds it is measured. It owns the check of these figures against sense and against the machine, before anything
  * is started.
  */
-public record HollowPlan(int workers, int schedulers, int real, int starts, int seconds) {
+public record SimulatedFleetPlan(int workers, int schedulers, int real, int starts, int seconds) {
     /** Twice the target, and what one command may start. */
     private static final int MOST_WORKERS = 1_540, MOST_SCHEDULERS = 40, MOST_REAL = 20, MOST_STARTS = 520;
 
--- a/src/main/java/barrowshore/capacity/hollow/HollowRun.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedFleetRun.java
@@ -1,9 +1,9 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
-import barrowshore.capacity.hollow.HollowFleet.Sums;
-import barrowshore.capacity.hollow.HollowRow.Role;
-import barrowshore.capacity.hollow.ProcessorMeter.Part;
-import barrowshore.capacity.hollow.TaskClients.Answer;
+import barrowshore.capacity.simulated.HollowRow.Role;
+import barrowshore.capacity.simulated.ProcessorMeter.Part;
+import barrowshore.capacity.simulated.SimulatedFleet.Sums;
+import barrowshore.capacity.simulated.TaskClients.Answer;
 import barrowshore.config.ConfigException;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -19,16 +19,16 @@
  * The command `hollow`: starts a fleet, lets it settle, measures it while some of it is replaced, and prints what each
  * scheduler used and how hollow and real compare. It owns the order of these steps and the printed form.
  */
-public final class HollowRun {
+public final class SimulatedFleetRun {
     /** From the last scheduler's start until the figures count: compilers and first lists are done. */
     private static final int SETTLE_SECONDS = 15;
     /** Share of the workers replaced while it is measured. */
     private static final double WORKERS_REPLACED = 0.01;
 
-    private final HollowPlan plan;
+    private final SimulatedFleetPlan plan;
     private final PrintStream out;
 
-    private HollowRun(HollowPlan plan, PrintStream out) {
+    private SimulatedFleetRun(SimulatedFleetPlan plan, PrintStream out) {
         this.plan = plan;
         this.out = out;
     }
@@ -37,15 +37,16 @@
      * Plays it. csv: where the rows go, or null; deploy: the deploy file whose run line has the real schedulers' options,
      * or null. A {@link ConfigException} says on one line why nothing was started.
      */
-    public static void play(HollowPlan plan, Path csv, Path deploy, long seed, PrintStream out) throws Exception {
-        plan.check(HollowPlan.Machine.here());
+    public static void run(SimulatedFleetPlan plan, Path csv, Path deploy, long seed, PrintStream out)
+            throws Exception {
+        plan.check(SimulatedFleetPlan.Machine.here());
         if (csv != null && !writable(csv)) {
             throw new ConfigException("hollow: --csv " + csv + " cannot be written: nothing was started");
         }
         Path folder = Files.createTempDirectory("hollow");
         out.println("logs of the real schedulers in " + folder);
-        try (HollowFleet fleet = new HollowFleet(plan, folder, deploy, seed, TargetSite.TASK_SECONDS)) {
-            List<HollowRow> rows = new HollowRun(plan, out).run(fleet);
+        try (SimulatedFleet fleet = new SimulatedFleet(plan, folder, deploy, seed, TargetSite.TASK_SECONDS)) {
+            List<HollowRow> rows = new SimulatedFleetRun(plan, out).run(fleet);
             if (csv != null) {
                 write(csv, rows);
             }
@@ -63,7 +64,7 @@
         Files.write(csv, lines);
     }
 
-    private List<HollowRow> run(HollowFleet fleet) throws Exception {
+    private List<HollowRow> run(SimulatedFleet fleet) throws Exception {
         fleet.start();
         out.printf(
                 "%d workers; %d real and %d hollow schedulers are ready; %d starts a second%n",
@@ -96,7 +97,7 @@
         TimeUnit.NANOSECONDS.sleep(Math.max(0, nanos - System.nanoTime()));
     }
 
-    private List<Sums> sums(HollowFleet fleet) {
+    private List<Sums> sums(SimulatedFleet fleet) {
         List<Sums> sums = new ArrayList<>();
         for (int k = 0; k < plan.schedulers(); k++) {
             sums.add(fleet.sums(k));
@@ -105,7 +106,7 @@
     }
 
     /** Processor time by part, of the first hollow scheduler, which is never replaced if there are two. */
-    private List<Long> parts(HollowFleet fleet) {
+    private List<Long> parts(SimulatedFleet fleet) {
         List<Long> parts = new ArrayList<>();
         for (Part part : plan.hollow() == 0 ? new Part[0] : Part.values()) {
             parts.add(fleet.hollow(plan.real()).meter().nanos(part));
@@ -163,7 +164,7 @@
         }
     }
 
-    private void printAnswers(HollowFleet fleet) {
+    private void printAnswers(SimulatedFleet fleet) {
         long[] answers = new long[Answer.values().length];
         long served = 0, refused = 0, failed = 0;
         for (int k = 0; k < plan.schedulers(); k++) {
@@ -172,7 +173,7 @@
                     answers[answer.ordinal()] += fleet.clients().answers(k, answer);
                 }
             } else {
-                HollowScheduler.Count count = fleet.hollow(k).count();
+                SimulatedScheduler.Count count = fleet.hollow(k).count();
                 served += count.served();
                 refused += count.refused();
                 failed += count.failed();
--- a/src/main/java/barrowshore/capacity/hollow/HollowScheduler.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedScheduler.java
@@ -1,9 +1,9 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
-import barrowshore.capacity.hollow.ProcessorMeter.Part;
+import barrowshore.capacity.simulated.ProcessorMeter.Part;
 import barrowshore.config.Config;
 import barrowshore.list.ServerList.Update;
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.module.DispatchApi;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Note;
@@ -15,7 +15,7 @@
 import barrowshore.net.Mailbox;
 import barrowshore.peer.PeerMessenger;
 import barrowshore.servers.ServiceDiscovery;
-import barrowshore.standin.StandInNode;
+import barrowshore.standin.StandInWorker;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
@@ -40,8 +40,8 @@
  * and threads, which are all in one thread group, so that their processor time can be told from the other schedulers'. It
  * must never share what it has learned with another one.
  */
-final class HollowScheduler implements DispatchApi.Actions, AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(HollowScheduler.class.getName());
+final class SimulatedScheduler implements DispatchApi.Actions, AutoCloseable {
+    private static final System.Logger LOG = System.getLogger(SimulatedScheduler.class.getName());
     /** Threads and outgoing connections: as a scheduler on one core has, and the watch's alone. */
     private static final int THREADS = 4, CONNECTIONS = 4;
 
@@ -65,7 +65,7 @@
             long failed) {}
 
     private final Clock clock = Clock.system();
-    private final Map<String, StandInNode> workers;
+    private final Map<String, StandInWorker> workers;
     private final ThreadGroup group;
     private final ProcessorMeter meter;
     private final ExecutorService pool;
@@ -103,14 +103,14 @@
     }
 
     /** Starts one in a thread group of its own. workers: the models behind the list's names. */
-    static HollowScheduler start(Config config, Map<String, StandInNode> workers) throws Exception {
+    static SimulatedScheduler start(Config config, Map<String, StandInWorker> workers) throws Exception {
         ThreadGroup group = new ThreadGroup("hollow " + config.name());
-        FutureTask<HollowScheduler> made = new FutureTask<>(() -> new HollowScheduler(config, workers, group));
+        FutureTask<SimulatedScheduler> made = new FutureTask<>(() -> new SimulatedScheduler(config, workers, group));
         new Thread(group, made, "start").start();
         return made.get();
     }
 
-    private HollowScheduler(Config config, Map<String, StandInNode> workers, ThreadGroup group) throws Exception {
+    private SimulatedScheduler(Config config, Map<String, StandInWorker> workers, ThreadGroup group) throws Exception {
         this.config = config;
         this.workers = workers;
         this.group = group;
@@ -137,7 +137,7 @@
                 timers,
                 update -> mailbox.post(() -> list(update)),
                 () -> {},
-                config.known(),
+                config.knownServers(),
                 config.grace());
         peers = new PeerMessenger(
                 config.peers(), false, pool, clock, (from, message) -> mailbox.post(() -> peer(from, message)));
@@ -223,7 +223,7 @@
     /** Takes over what a changed configuration may change in a running scheduler. */
     void reload(Config read) {
         mailbox.post(() -> {
-            config = read.inPlaceOf(config);
+            config = read.asReloadOf(config);
             meter.run(Part.CONFIGURATION, () -> module.changeSettings(now(), config.settings()));
             discovery.setGrace(config.grace());
             discovery.setAddress(config.discovery());
@@ -253,7 +253,7 @@
     }
 
     /** One attempt, as a job on the model of a worker: what becomes of it comes back through the mailbox. */
-    private final class Attempt implements NodeModel.Job {
+    private final class Attempt implements WorkerModel.Job {
         final OpenRequest open;
         final int number;
         final long sentAt;
@@ -355,7 +355,7 @@
         Attempt attempt = new Attempt(open, open.attempts.size(), now());
         open.attempts.add(attempt);
         open.out++;
-        StandInNode node = workers.get(worker);
+        StandInWorker node = workers.get(worker);
         if (node == null) {
             attempt.ends(Status.NOT_SENT);
         } else {
@@ -394,7 +394,7 @@
 
     @Override
     public void probe(String worker) {
-        StandInNode node = workers.get(worker);
+        StandInWorker node = workers.get(worker);
         if (node != null) {
             long sentAt = clock.micros();
             node.load()
--- a/src/main/java/barrowshore/capacity/hollow/TargetSite.java
+++ b/src/main/java/barrowshore/capacity/simulated/TargetSite.java
@@ -1,6 +1,6 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.standin.StandInConfig;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -42,12 +42,12 @@
 
     private TargetSite() {}
 
-    static NodeModel.Spec worker() {
-        return new NodeModel.Spec(SLOTS, 1, QUEUE, true, START_CAPACITY, COLD);
+    static WorkerModel.Spec worker() {
+        return new WorkerModel.Spec(SLOTS, 1, QUEUE, true, START_CAPACITY, COLD);
     }
 
-    static NodeModel.Falling falling(double taskSeconds) {
-        return new NodeModel.Falling(FALL_MULTIPLE, FALL, taskSeconds * SECOND);
+    static WorkerModel.OverloadLimit falling(double taskSeconds) {
+        return new WorkerModel.OverloadLimit(FALL_MULTIPLE, FALL, taskSeconds * SECOND);
     }
 
     static String tenant(int number) {
@@ -69,13 +69,15 @@
     static String configuration(int me, int life, int edition, int starts, Addresses addresses) {
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("name", "n" + me);
-        root.put("listen", StandInConfig.text(addresses.listen()));
-        root.put("discovery", StandInConfig.text(addresses.discovery()));
+        root.put("listen", StandInConfig.formatAddress(addresses.listen()));
+        root.put("discovery", StandInConfig.formatAddress(addresses.discovery()));
         root.put("seed", Integer.toHexString((life + 1) * 0x9e3779b1 + me));
         root.put("limits", Map.of("sockets", DESCRIPTORS));
-        root.put("peer_listen", StandInConfig.text(addresses.peerListen()));
-        root.put("peers", addresses.peers().stream().map(StandInConfig::text).toArray());
-        root.put("peers_all", StandInConfig.text(addresses.allPeers()));
+        root.put("peer_listen", StandInConfig.formatAddress(addresses.peerListen()));
+        root.put(
+                "peers",
+                addresses.peers().stream().map(StandInConfig::formatAddress).toArray());
+        root.put("peers_all", StandInConfig.formatAddress(addresses.allPeers()));
         root.put("settings", settings(me, addresses.peers().size(), edition, starts));
         return new JSON().toJSON(root);
     }
--- a/src/main/java/barrowshore/cli/HollowCommand.java
+++ b/src/main/java/barrowshore/cli/HollowCommand.java
@@ -1,7 +1,7 @@
 package barrowshore.cli;
 
-import barrowshore.capacity.hollow.HollowPlan;
-import barrowshore.capacity.hollow.HollowRun;
+import barrowshore.capacity.simulated.SimulatedFleetPlan;
+import barrowshore.capacity.simulated.SimulatedFleetRun;
 import java.nio.file.Path;
 import org.kohsuke.args4j.Option;
 
@@ -38,6 +38,7 @@
 
     @Override
     public void run() throws Exception {
-        HollowRun.play(new HollowPlan(workers, schedulers, real, starts, seconds), csv, deploy, seed, System.out);
+        SimulatedFleetRun.run(
+                new SimulatedFleetPlan(workers, schedulers, real, starts, seconds), csv, deploy, seed, System.out);
     }
 }
--- a/src/main/java/barrowshore/cli/Main.java
+++ b/src/main/java/barrowshore/cli/Main.java
@@ -2,23 +2,23 @@
 
 import barrowshore.capacity.CapacityRun;
 import barrowshore.capacity.FleetSize;
-import barrowshore.capacity.PlayOptions;
+import barrowshore.capacity.SimulationOptions;
 import barrowshore.capacity.SizeOption;
 import barrowshore.capacity.Sweep;
 import barrowshore.config.ConfigException;
-import barrowshore.emulate.Matrix;
-import barrowshore.emulate.Rehearsal;
+import barrowshore.emulate.DeploymentComparison;
 import barrowshore.emulate.Scenario;
-import barrowshore.files.FileMac;
+import barrowshore.emulate.ScenarioRunner;
+import barrowshore.files.FileSigner;
 import barrowshore.files.ServersFile;
 import barrowshore.fleet.Fleet;
 import barrowshore.fleet.FleetScenario;
 import barrowshore.list.OperatorServerList;
 import barrowshore.list.ServerListChangePolicy;
 import barrowshore.node.JobScheduler;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
-import barrowshore.operator.SetupFiles;
+import barrowshore.operator.ConfigFiles;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import barrowshore.standin.Demo;
 import barrowshore.wire.WireException;
 import barrowshore.wire.WireHost;
@@ -111,14 +111,15 @@
         public void run() {
             String inEnvironment = System.getenv("GW_CONFIG");
             if (operator != null && config == null && (inEnvironment == null || inEnvironment.isEmpty())) {
-                System.out.println(operator + ": " + Operator.read(operator).summary());
+                System.out.println(
+                        operator + ": " + OperatorSettings.read(operator).summary());
                 return;
             }
-            Setup setup = files(config, operator).read();
+            SchedulerConfig setup = files(config, operator).read();
             System.out.println(setup.config().summary()
                     + (operator == null
                             ? ""
-                            : "\n" + operator + ": " + setup.operator().summary()));
+                            : "\n" + operator + ": " + setup.operatorSettings().summary()));
         }
     }
 
@@ -130,12 +131,12 @@
 
         @Override
         public void run() throws IOException {
-            Operator read = operator == null ? Operator.NONE : Operator.read(operator);
+            OperatorSettings read = operator == null ? OperatorSettings.NONE : OperatorSettings.read(operator);
             new WireHost(
                             new FileInputStream(FileDescriptor.in),
                             new FileOutputStream(FileDescriptor.out),
                             (zones, settings) -> settings.halls =
-                                    read.halls() == null ? null : read.halls().rules(zones, settings.zone))
+                                    read.halls() == null ? null : read.halls().rulesFor(zones, settings.zone))
                     .run();
         }
     }
@@ -161,7 +162,7 @@
             FleetScenario read = FleetScenario.read(scenario);
             Path to = folder != null ? folder : Files.createTempDirectory("fleet");
             System.out.println("logs and figures in " + to);
-            if (!Fleet.play(read, to, deploy, System.out).broken().isEmpty()) {
+            if (!Fleet.run(read, to, deploy, System.out).violations().isEmpty()) {
                 throw new Broken();
             }
         }
@@ -212,7 +213,7 @@
             switch (what) {
                 case "check" -> {
                     if (keys != null) {
-                        new FileMac(keys).verify(file, Files.readAllBytes(file));
+                        new FileSigner(keys).verify(file, Files.readAllBytes(file));
                     }
                     System.out.println(file + ": " + list.summary());
                 }
@@ -220,7 +221,7 @@
                     if (keys == null || ids.isEmpty()) {
                         throw new ConfigException("servers sign needs --keys DIR and --key ID");
                     }
-                    new FileMac(keys).sign(file, ids);
+                    new FileSigner(keys).sign(file, ids);
                 }
                 case "show" -> ServerListChangePolicy.format(list).forEach(System.out::println);
                 case "diff" -> {
@@ -283,13 +284,13 @@
                 throw new ConfigException("emulate needs a scenario's file or --deployments COUNT, and not both");
             }
             if (scenario == null) {
-                Matrix.run(System.out, deployments, seed, rivals, csv);
+                DeploymentComparison.run(System.out, deployments, seed, rivals, csv);
                 return;
             }
-            Rehearsal.run(
+            ScenarioRunner.run(
                     System.out,
                     Scenario.read(scenario),
-                    operator == null ? Operator.NONE : Operator.read(operator),
+                    operator == null ? OperatorSettings.NONE : OperatorSettings.read(operator),
                     seed,
                     seeds,
                     compare,
@@ -379,22 +380,22 @@
         @Override
         public void run() throws Exception {
             FleetSize size = new FleetSize(
-                    SizeOption.whole("--workers", workers),
-                    SizeOption.whole("--schedulers", schedulers),
+                    SizeOption.toWholeNumber("--workers", workers),
+                    SizeOption.toWholeNumber("--schedulers", schedulers),
                     starts,
-                    SizeOption.whole("--tenants", tenants),
+                    SizeOption.toWholeNumber("--tenants", tenants),
                     listChanges,
                     configChanges);
-            PlayOptions options = new PlayOptions(
-                    SizeOption.whole("--seconds", seconds),
-                    SizeOption.whole("--seed", seed),
-                    SizeOption.whole("--plays", plays),
+            SimulationOptions options = new SimulationOptions(
+                    SizeOption.toWholeNumber("--seconds", seconds),
+                    SizeOption.toWholeNumber("--seed", seed),
+                    SizeOption.toWholeNumber("--plays", plays),
                     !counts,
                     loss,
                     doubled,
                     reports,
                     !noGuesses);
-            if (!CapacityRun.run(System.out, size, options, Sweep.named(sweep), csv)) {
+            if (!CapacityRun.run(System.out, size, options, Sweep.parseNames(sweep), csv)) {
                 throw new Broken();
             }
         }
@@ -426,12 +427,12 @@
     })
     Command command;
 
-    private static SetupFiles files(Path file, Path operator) {
+    private static ConfigFiles files(Path file, Path operator) {
         String path = file != null ? file.toString() : System.getenv("GW_CONFIG");
         if (path == null || path.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set and no --config is given");
         }
-        return new SetupFiles(Path.of(path), System.getenv("GW_OPS"), operator);
+        return new ConfigFiles(Path.of(path), System.getenv("GW_OPS"), operator);
     }
 
     public static void main(String[] args) throws Exception {
--- a/src/main/java/barrowshore/client/ClientConnections.java
+++ b/src/main/java/barrowshore/client/ClientConnections.java
@@ -137,7 +137,7 @@
     /** Classes by number and those that are taken, tenants by number, what the classes are. */
     private record Terms(List<String> classes, Set<String> served, List<String> tenants, DispatchApi.JobClass[] types) {
         static Terms of(Config config) {
-            return new Terms(config.classes(), config.served(), config.tenants(), config.settings().classes);
+            return new Terms(config.classes(), config.acceptedClasses(), config.tenants(), config.settings().classes);
         }
     }
 
@@ -555,7 +555,7 @@
             if (!header("X-Priority-Class").equals(path)) {
                 throw new BadRequest(400, "X-Priority-Class is not the path's class");
             }
-            int tenant = tenants.isEmpty() ? -1 : tenants.indexOf(SettingsReader.plain(header("X-Tenant-Id")));
+            int tenant = tenants.isEmpty() ? -1 : tenants.indexOf(SettingsReader.normalizeName(header("X-Tenant-Id")));
             if (tenant < 0 && !tenants.isEmpty()) {
                 throw new BadRequest(400, "X-Tenant-Id is not known");
             }
--- a/src/main/java/barrowshore/config/Config.java
+++ b/src/main/java/barrowshore/config/Config.java
@@ -35,15 +35,16 @@
         List<String> classes,
         List<String> tenants,
         ServerList.ZoneKindNames names,
-        ServerList.Update known,
-        Peering peers,
-        Set<String> served,
+        ServerList.Update knownServers,
+        PeerConfig peers,
+        Set<String> acceptedClasses,
         Map<String, Object> fixed,
         Map<?, ?> raw) {
     /* grace: microseconds after which nothing new may go to a server that leaves. */
 
     /** Where we are heard, the peers by their numbers, ours, and the address that reaches them all and us. */
-    public record Peering(InetSocketAddress listen, List<InetSocketAddress> peers, int me, InetSocketAddress all) {}
+    public record PeerConfig(
+            InetSocketAddress listen, List<InetSocketAddress> peers, int ownNumber, InetSocketAddress broadcast) {}
 
     /** The fields that a running scheduler takes over, and those that matter only to a fresh one. */
     private static final Set<String> LIVE = Set.of("discovery", "known", "seed", "settings");
@@ -65,7 +66,7 @@
      * The same, but for the operators' address that stands in the environment: it is this process's own, while the file may
      * be another one's too. Null or empty: there is none.
      */
-    public Config withOps(String text) {
+    public Config withOpsAddress(String text) {
         return text == null || text.isEmpty()
                 ? this
                 : new Config(
@@ -80,15 +81,15 @@
                         classes,
                         tenants,
                         names,
-                        known,
+                        knownServers,
                         peers,
-                        served,
+                        acceptedClasses,
                         fixed,
                         raw);
     }
 
     /** The text of a configuration's file. */
-    public static String text(Path file) {
+    public static String readText(Path file) {
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
             // It may be in the middle of being replaced: half of each is neither.
@@ -110,7 +111,7 @@
      * This one, read later, for a process that goes by the former: classes keep their numbers, and what is built on at a
      * start stays. A {@link ConfigException} tells why it cannot take the former's place.
      */
-    public Config inPlaceOf(Config former) {
+    public Config asReloadOf(Config former) {
         Map<Object, Object> needed = new HashMap<>(former.raw);
         needed.remove("known");
         String lost = Shape.lost("", needed, raw);
@@ -152,7 +153,7 @@
                 List.copyOf(numbered),
                 tenants,
                 former.names,
-                known,
+                knownServers,
                 former.peers,
                 Set.copyOf(classes),
                 former.fixed,
@@ -171,18 +172,19 @@
         }
         Map<?, ?> nested = map(root.get("settings"), "settings");
         SettingsReader reader = SettingsReader.of(nested);
-        ServerList.ZoneKindNames names = new ServerList.ZoneKindNames(reader.items("zones"), reader.items("kinds"));
+        ServerList.ZoneKindNames names =
+                new ServerList.ZoneKindNames(reader.listItems("zones"), reader.listItems("kinds"));
         Settings settings;
         long keepAlive;
         long grace;
-        long seed = seed(text(root, "seed"));
+        long seed = seed(readText(root, "seed"));
         try {
             over0(reader, "lanes.count", "lanes", 0);
-            for (int k = 0; k < reader.names("lanes").size(); k++) {
+            for (int k = 0; k < reader.itemNames("lanes").size(); k++) {
                 over0(reader, "lanes." + k + ".deadline", "lanes." + k + ".deadline", 1);
             }
             over0(reader, "policyLimits.sendCap", "policyLimits.sendCap", 1);
-            settings = reader.settings(seed);
+            settings = reader.toSettings(seed);
             settings.validate();
             keepAlive = (long) reader.number("policyLimits.keepalive", 60e6);
             grace = (long) reader.number("rules.stopSendingWithin", 1e6);
@@ -205,7 +207,7 @@
             }
         }
         for (String list : List.of("lanes", "tenants")) {
-            List<String> named = reader.names(list);
+            List<String> named = reader.itemNames(list);
             for (int k = 0; k < named.size(); k++) {
                 if (named.get(k).isEmpty() || named.indexOf(named.get(k)) < k) {
                     throw new ConfigException("settings: " + list + "." + k + ".name is "
@@ -218,26 +220,26 @@
         fixed.keySet().removeAll(LIVE);
         BUILT_ON.forEach(key -> fixed.put("settings." + key, reader.text(key)));
         return new Config(
-                text(root, "name"),
-                address(text(root, "listen"), "listen"),
-                address(text(root, "discovery"), "discovery"),
-                root.get("ops") == null ? null : address(text(root, "ops"), "ops"),
+                readText(root, "name"),
+                address(readText(root, "listen"), "listen"),
+                address(readText(root, "discovery"), "discovery"),
+                root.get("ops") == null ? null : address(readText(root, "ops"), "ops"),
                 sockets,
                 settings,
                 keepAlive,
                 grace,
-                reader.names("lanes"),
-                reader.names("tenants"),
+                reader.itemNames("lanes"),
+                reader.itemNames("tenants"),
                 names,
                 known,
                 peers(root, settings.ownIndex),
-                Set.copyOf(reader.names("lanes")),
+                Set.copyOf(reader.itemNames("lanes")),
                 fixed,
                 root);
     }
 
     /** The fields that differ from another configuration's and are taken over only at a start. */
-    public List<String> differing(Config other) {
+    public List<String> fieldsNeedingRestart(Config other) {
         Set<String> all = new TreeSet<>(fixed.keySet());
         all.addAll(other.fixed.keySet());
         all.removeIf(field -> Objects.equals(fixed.get(field), other.fixed.get(field)));
@@ -246,13 +248,13 @@
 
     /** The settings that this program has not heard of, and so does not heed. */
     public List<String> unknownSettings() {
-        return SettingsReader.of(map(raw.get("settings"), "settings")).unknown();
+        return SettingsReader.of(map(raw.get("settings"), "settings")).unknownKeys();
     }
 
     /** One line for a person. */
     public String summary() {
         return name + ": listen " + listen + ", discovery " + discovery + ", " + classes.size() + " classes, "
-                + tenants.size() + " tenants, " + known.entries().size() + " known servers";
+                + tenants.size() + " tenants, " + knownServers.entries().size() + " known servers";
     }
 
     private static void over0(SettingsReader reader, String key, String named, double otherwise) {
@@ -262,7 +264,7 @@
     }
 
     /** Null where schedulers cannot reach one another. */
-    private static Peering peers(Map<?, ?> root, int me) {
+    private static PeerConfig peers(Map<?, ?> root, int me) {
         if (root.get("peer_listen") == null) {
             return null;
         }
@@ -272,16 +274,16 @@
         List<InetSocketAddress> peers = list.stream()
                 .map(peer -> address(String.valueOf(peer), "peers"))
                 .toList();
-        return new Peering(
-                address(text(root, "peer_listen"), "peer_listen"),
+        return new PeerConfig(
+                address(readText(root, "peer_listen"), "peer_listen"),
                 peers,
                 me,
-                address(text(root, "peers_all"), "peers_all"));
+                address(readText(root, "peers_all"), "peers_all"));
     }
 
     private static InetSocketAddress address(String text, String field) {
         try {
-            return Json.address(text, field);
+            return Json.parseAddress(text, field);
         } catch (IllegalArgumentException e) {
             throw new ConfigException(e.getMessage());
         }
@@ -295,7 +297,7 @@
         }
     }
 
-    private static String text(Map<?, ?> map, String field) {
+    private static String readText(Map<?, ?> map, String field) {
         if (map.get(field) instanceof String s && !s.isEmpty()) {
             return s;
         }
--- a/src/main/java/barrowshore/config/XmlFile.java
+++ b/src/main/java/barrowshore/config/XmlFile.java
@@ -33,7 +33,7 @@
  */
 public final class XmlFile {
     /** The largest file read. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
 
     private static final String DISALLOW = "http://apache.org/xml/features/disallow-doctype-decl";
 
@@ -71,12 +71,12 @@
         }
 
         /** The children of a name. */
-        public List<Element> all(String child) {
+        public List<Element> childrenNamed(String child) {
             return children.stream().filter(e -> e.name.equals(child)).toList();
         }
 
         /** The first child of a name; null if there is none. */
-        public Element one(String child) {
+        public Element firstChildNamed(String child) {
             return children.stream()
                     .filter(e -> e.name.equals(child))
                     .findFirst()
@@ -84,7 +84,7 @@
         }
 
         /** What is wrong with this element. */
-        public ConfigException wrong(String file, String message) {
+        public ConfigException error(String file, String message) {
             return new ConfigException(where(file, line, column) + ": " + name + ": " + message);
         }
     }
@@ -95,7 +95,7 @@
 
     /** Reads a file; a {@link ConfigException} says on one line what is wrong, and where. */
     public static Element read(Path file, Class<?> owner, String schema) {
-        return read(file, owner, schema, MOST_BYTES);
+        return read(file, owner, schema, MAX_BYTES);
     }
 
     /** The same, for a file of at most so many bytes. */
@@ -111,7 +111,7 @@
 
     /** Reads bytes that came from a file of that name by the schema that is a resource beside the owner. */
     public static Element read(String file, byte[] bytes, Class<?> owner, String schema) {
-        return read(file, bytes, owner, schema, MOST_BYTES);
+        return read(file, bytes, owner, schema, MAX_BYTES);
     }
 
     /** The same, for at most so many bytes. */
--- a/src/main/java/barrowshore/emulate/Attempt.java
+++ b/src/main/java/barrowshore/emulate/Attempt.java
@@ -1,18 +1,18 @@
 package barrowshore.emulate;
 
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.Note;
 import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Status;
 
 /** One sending of a request to a machine, over connections that take time and may be cut. */
-final class Attempt implements NodeModel.Job {
+final class Attempt implements WorkerModel.Job {
     /** How long a job that fails runs at most before it does. */
     private static final long FAILS_WITHIN = 20 * World.MS;
 
     private final World world;
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final EmulatedScheduler scheduler;
 
     final OpenRequest open;
@@ -71,7 +71,7 @@
             return;
         }
         long there = world.draws.way(scheduler.zone, node.zone);
-        if (!node.model.up()) {
+        if (!node.model.isUp()) {
             later(2 * there, () -> end(Status.CONNECT_FAILED));
             return;
         }
@@ -82,7 +82,7 @@
             }
             knew = scheduler.bootsHeard.getOrDefault(node.id, -1L) == node.boot;
             world.report.sent(kernel.now() - World.START, node.zone, scheduler.zone);
-            kernel.after(there, () -> {
+            kernel.runAfter(there, () -> {
                 if (node.reachable(scheduler)) {
                     cameAt = kernel.now();
                     world.report.even.came(node.number, scheduler.number, work() * slots());
@@ -94,7 +94,7 @@
 
     /** Runs it then, unless the attempt has ended or its scheduler has died. */
     private void later(long delay, Runnable run) {
-        kernel.after(delay, () -> {
+        kernel.runAfter(delay, () -> {
             if (scheduler.lives(born) && !ended) {
                 run.run();
             }
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public boolean knowing() {
+    public boolean senderKnewOfRestart() {
         return knew;
     }
 
--- a/src/main/java/barrowshore/emulate/Clients.java
+++ b/src/main/java/barrowshore/emulate/Clients.java
@@ -10,7 +10,7 @@
     private static final double[] SLOTS = {1, 2, 4};
 
     private final World world;
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final Draws draws;
     private final Scenario scenario;
     private final Deployment deployment;
@@ -33,7 +33,7 @@
     /** So many times as many come, for that long. */
     void burst(double factor, long lasts) {
         burst *= factor;
-        kernel.after(lasts, () -> burst /= factor);
+        kernel.runAfter(lasts, () -> burst /= factor);
     }
 
     /** The arrival that is due, and so on until the day ends. */
@@ -42,7 +42,7 @@
             return;
         }
         arrive();
-        kernel.after((long) Math.max(1, draws.interval() / (rate * burst)), this::nextArrival);
+        kernel.runAfter((long) Math.max(1, draws.interval() / (rate * burst)), this::nextArrival);
     }
 
     private void arrive() {
@@ -94,7 +94,7 @@
     void retry(ClientJob job, long after) {
         long wait = Math.max(after, draws.between(6, 48));
         if (job.tries <= scenario.retries() && job.mayTryAgain(wait)) {
-            kernel.after(wait, () -> attempt(job));
+            kernel.runAfter(wait, () -> attempt(job));
         }
     }
 }
--- a/src/main/java/barrowshore/emulate/Matrix.java
+++ b/src/main/java/barrowshore/emulate/DeploymentComparison.java
@@ -1,8 +1,8 @@
 package barrowshore.emulate;
 
+import barrowshore.baseline.BaselineDispatcher;
 import barrowshore.config.ConfigException;
-import barrowshore.operator.Operator;
-import barrowshore.rivals.Rival;
+import barrowshore.operator.OperatorSettings;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -22,22 +22,22 @@
  * first, with what is on there. It owns what is printed and written, and judges by worth served in time less deductions,
  * a broken rule making that 0; it must never leave a deployment out.
  */
-public final class Matrix {
+public final class DeploymentComparison {
     /** How many deployments are printed by default, and how far behind a rival counts as lost. */
     private static final int SHOWN = 20;
 
     private static final double MISSED = 0.03;
 
     /** One deployment: what each made of its day; score 0 where a rule was broken. */
-    record Row(long seed, Deployment.Drawn drawn, Report module, Map<Rival.Rule, Double> rivals) {
+    record Row(long seed, Deployment.Drawn drawn, Report module, Map<BaselineDispatcher.Policy, Double> rivals) {
         double score() {
             return module.broken() > 0 ? 0 : module.priced();
         }
 
         /** The best that does not see true state. */
-        Rival.Rule best() {
+        BaselineDispatcher.Policy best() {
             return rivals.entrySet().stream()
-                    .filter(e -> e.getKey() != Rival.Rule.TRUE_STATE)
+                    .filter(e -> e.getKey() != BaselineDispatcher.Policy.TRUE_STATE)
                     .max(Map.Entry.comparingByValue())
                     .orElseThrow()
                     .getKey();
@@ -48,7 +48,7 @@
         }
     }
 
-    private Matrix() {}
+    private DeploymentComparison() {}
 
     /** Plays so many deployments from a seed on; csv null: nothing is written. */
     public static void run(PrintStream out, int count, long seed, boolean rivals, Path csv) throws IOException {
@@ -75,21 +75,28 @@
 
     private static Row play(long seed, boolean rivals) {
         Deployment.Drawn drawn = Deployment.draw(seed);
-        Report module = new World(drawn.day(), drawn.deployment(), Operator.NONE, seed, Emulator::module).play();
-        Map<Rival.Rule, Double> scores = new EnumMap<>(Rival.Rule.class);
-        for (Rival.Rule rule : rivals ? Rival.Rule.values() : new Rival.Rule[0]) {
-            Report r = new World(drawn.day(), drawn.deployment(), Operator.NONE, seed, rival(rule, drawn.deployment()))
+        Report module =
+                new World(drawn.day(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::module).play();
+        Map<BaselineDispatcher.Policy, Double> scores = new EnumMap<>(BaselineDispatcher.Policy.class);
+        for (BaselineDispatcher.Policy rule :
+                rivals ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
+            Report r = new World(
+                            drawn.day(),
+                            drawn.deployment(),
+                            OperatorSettings.NONE,
+                            seed,
+                            rival(rule, drawn.deployment()))
                     .play();
             scores.put(rule, r.broken() > 0 ? 0 : r.priced());
         }
         return new Row(seed, drawn, module, scores);
     }
 
-    private static World.Modules rival(Rival.Rule rule, Deployment deployment) {
+    private static World.Modules rival(BaselineDispatcher.Policy rule, Deployment deployment) {
         double meanWork = deployment.classes().stream()
                 .mapToDouble(k -> k.share() * k.work())
                 .sum();
-        return (settings, actions, truth) -> new Rival(
+        return (settings, actions, truth) -> new BaselineDispatcher(
                 rule,
                 settings,
                 actions,
@@ -117,7 +124,7 @@
                     rows.stream().mapToDouble(Row::lead).average().orElse(0),
                     MISSED,
                     missed);
-            for (Rival.Rule rule : Rival.Rule.values()) {
+            for (BaselineDispatcher.Policy rule : BaselineDispatcher.Policy.values()) {
                 out.printf(
                         Locale.ROOT,
                         "  %-20s %.3f%n",
@@ -142,7 +149,7 @@
                         r.score(),
                         r.lead(),
                         rivals ? name(r.best()) : "",
-                        rivals ? r.rivals.get(Rival.Rule.TRUE_STATE) : 0,
+                        rivals ? r.rivals.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
                         r.module.rulesBroken(),
                         what(r)));
     }
@@ -177,7 +184,7 @@
         return of.stream().mapToDouble(Double::doubleValue).average().orElse(0);
     }
 
-    private static String name(Rival.Rule rule) {
+    private static String name(BaselineDispatcher.Policy rule) {
         return rule.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
--- a/src/main/java/barrowshore/emulate/Draws.java
+++ b/src/main/java/barrowshore/emulate/Draws.java
@@ -1,7 +1,7 @@
 package barrowshore.emulate;
 
 import barrowshore.emulate.Deployment.ClassOf;
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.LogNormalSampler;
@@ -91,10 +91,10 @@
     }
 
     /** A machine of a kind; cores: where the kind does not say how many it has. */
-    NodeModel.Spec spec(Deployment.Machine m, int usualCores) {
+    WorkerModel.Spec spec(Deployment.Machine m, int usualCores) {
         int cores = m.cores() == 0 ? usualCores : m.cores();
         double least = deployment.rules().startCapacity();
-        return new NodeModel.Spec(
+        return new WorkerModel.Spec(
                 cores,
                 fated(m.speedFrom(), m.speedTo()),
                 cores * fated(m.queueFrom(), m.queueTo()),
--- a/src/main/java/barrowshore/emulate/EmulatedNode.java
+++ b/src/main/java/barrowshore/emulate/EmulatedNode.java
@@ -1,6 +1,6 @@
 package barrowshore.emulate;
 
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.module.DispatchApi.Health;
 import barrowshore.module.DispatchApi.ListKind;
 import barrowshore.module.DispatchApi.Load;
@@ -19,7 +19,7 @@
     private static final long DRAIN_TIME = 15 * World.S;
 
     private final World world;
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final Draws draws;
     private final Deployment deployment;
 
@@ -30,7 +30,7 @@
     /** Cells are a few machines each, within a zone. */
     final int cell;
 
-    final NodeModel model;
+    final WorkerModel model;
     double errors;
     boolean vanished;
     boolean gone;
@@ -43,7 +43,7 @@
     /** The weight that the list tells of it. */
     double weight;
 
-    EmulatedNode(World world, String id, int number, int zone, int kind, NodeModel.Spec spec) {
+    EmulatedNode(World world, String id, int number, int zone, int kind, WorkerModel.Spec spec) {
         this.world = world;
         this.kernel = world.kernel;
         this.draws = world.draws;
@@ -54,32 +54,32 @@
         this.zone = zone;
         this.kind = kind;
         Deployment.Rules rules = deployment.rules();
-        this.model = new NodeModel(
+        this.model = new WorkerModel(
                 kernel,
                 spec,
-                new NodeModel.Falling(rules.fallMultiple(), rules.fall(), world.meanSize),
+                new WorkerModel.OverloadLimit(rules.fallMultiple(), rules.fall(), world.meanSize),
                 deployment.told().progress());
         weight = size();
         Deployment.Told told = deployment.told();
         long every = (long) draws.fated(told.period()[0], told.period()[1]),
                 late = (long) draws.fated(told.delay()[0], told.delay()[1]);
-        kernel.after((long) (draws.fate.nextDouble() * every), () -> renew(every, late));
+        kernel.runAfter((long) (draws.fate.nextDouble() * every), () -> renew(every, late));
     }
 
     /** Its load as it is now comes to be known a while later, and so does a weight that follows it. */
     private void renew(long every, long late) {
         Deployment.Told told = deployment.told();
         Load load = new Load(
-                told.inFlight() ? noisy(model.held()) : Double.NaN,
-                told.queue() ? noisy(model.waiting()) : Double.NaN,
+                told.inFlight() ? noisy(model.jobCount()) : Double.NaN,
+                told.queue() ? noisy(model.waitingJobs()) : Double.NaN,
                 told.free() ? noisy(model.freeSlots()) : Double.NaN);
-        kernel.after(late, () -> reported = load);
+        kernel.runAfter(late, () -> reported = load);
         if (told.weights() == Deployment.Weights.LIVE) {
-            weight = size() / (1 + model.held() / (double) model.spec().cores());
+            weight = size() / (1 + model.jobCount() / (double) model.spec().cores());
             tell(health, late);
         }
         if (kernel.now() < world.end()) {
-            kernel.after(every, () -> renew(every, late));
+            kernel.runAfter(every, () -> renew(every, late));
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     Evenness.Look look() {
-        boolean usable = model.up() && !vanished && !model.hung() && health == Health.READY && !gone;
+        boolean usable = model.isUp() && !vanished && !model.isHung() && health == Health.READY && !gone;
         return new Evenness.Look(usable ? model.capacity() : 0, model.freeSlots(), model.waitingSlots());
     }
 
@@ -115,14 +115,14 @@
         health = now;
         Member entry = entry();
         for (EmulatedScheduler s : world.schedulers) {
-            kernel.after(late + draws.between(13, 110), () -> s.list(ListKind.CHANGES, List.of(entry)));
+            kernel.runAfter(late + draws.between(13, 110), () -> s.list(ListKind.CHANGES, List.of(entry)));
         }
     }
 
     void vanish() {
         vanished = true;
         long late = draws.between(5200, 12000);
-        kernel.after(late, () -> {
+        kernel.runAfter(late, () -> {
             if (vanished) {
                 tell(Health.GONE, 0);
             }
@@ -133,7 +133,7 @@
         vanished = false;
         List<Runnable> late = List.copyOf(unsaid);
         unsaid.clear();
-        late.forEach(run -> kernel.after(draws.between(1, 200), run));
+        late.forEach(run -> kernel.runAfter(draws.between(1, 200), run));
         if (health == Health.GONE) {
             tell(Health.READY, draws.between(260, 1800));
         }
@@ -146,9 +146,9 @@
     }
 
     void drain() {
-        model.drain(true);
+        model.setDraining(true);
         tell(Health.DRAINING, draws.between(260, 1800));
-        kernel.after(DRAIN_TIME, () -> {
+        kernel.runAfter(DRAIN_TIME, () -> {
             if (health == Health.DRAINING) {
                 die(draws.between(260, 1800));
             }
@@ -158,7 +158,7 @@
     void rise() {
         model.crash();
         model.restart();
-        if (model.up()) {
+        if (model.isUp()) {
             boot = kernel.now();
             tell(Health.READY, draws.between(260, 1800));
         }
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -30,7 +30,7 @@
     private static final long ANSWER_MARGIN = 25 * World.MS;
 
     private final World world;
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final Draws draws;
     private final Scenario scenario;
     private final Deployment deployment;
@@ -110,7 +110,7 @@
         set.overloadWindowMicros = deployment.rules().fall();
         set.crossZoneCharge = deployment.prices().crossing();
         set.halls =
-                world.operator.halls() == null ? null : world.operator.halls().rules(scenario.zoneNames(), zone);
+                world.operator.halls() == null ? null : world.operator.halls().rulesFor(scenario.zoneNames(), zone);
         return set;
     }
 
@@ -171,7 +171,7 @@
 
     /** Runs it when it has come over from a zone, or once that can be reached again. */
     void over(int from, int born, Runnable run) {
-        kernel.after(draws.way(from, zone), () -> {
+        kernel.runAfter(draws.way(from, zone), () -> {
             if (!lives(born)) {
                 return;
             }
@@ -190,7 +190,7 @@
         held[from] = null;
         if (late != null) {
             int born = life;
-            late.forEach(run -> kernel.after(draws.between(1, 200), () -> {
+            late.forEach(run -> kernel.runAfter(draws.between(1, 200), () -> {
                 if (lives(born)) {
                     run.run();
                 }
@@ -204,13 +204,13 @@
         OpenRequest open = new OpenRequest(world, this, job, world.nextRequest(), deadline);
         requests.put(open.id, open);
         int born = life;
-        kernel.at(open.deadline, () -> {
+        kernel.runAt(open.deadline, () -> {
             if (lives(born)) {
                 open.expire();
             }
         });
         if (scenario.leaving() > 0 && draws.random.nextDouble() < scenario.leaving()) {
-            kernel.after(draws.between(0, 120), () -> {
+            kernel.runAfter(draws.between(0, 120), () -> {
                 if (lives(born)) {
                     open.clientLeaves();
                 }
@@ -268,7 +268,7 @@
         OpenRequest open = requests.get(id);
         if (open != null) {
             int born = life;
-            kernel.after(0, () -> {
+            kernel.runAfter(0, () -> {
                 if (lives(born)) {
                     open.attempts.get(attempt).end(Status.CANCELLED);
                 }
@@ -283,10 +283,10 @@
         int born = life;
         report.probes++;
         report.notAllowed += settings.mayProbe ? 0 : 1;
-        boolean answers = node.reachable(this) && node.model.up() && !node.model.hung();
-        boolean refused = node.reachable(this) && !node.model.up();
+        boolean answers = node.reachable(this) && node.model.isUp() && !node.model.isHung();
+        boolean refused = node.reachable(this) && !node.model.isUp();
         long takes = answers || refused ? draws.way(zone, node.zone) + draws.way(node.zone, zone) : PROBE_TIMEOUT;
-        kernel.after(takes, () -> {
+        kernel.runAfter(takes, () -> {
             if (lives(born)) {
                 module.probed(
                         kernel.now(),
@@ -306,7 +306,7 @@
         report.longestMessage = Math.max(report.longestMessage, message.length);
         for (EmulatedScheduler other : world.schedulers) {
             if (other != this && draws.random.nextDouble() >= scenario.loss()) {
-                kernel.after(draws.between(1.1, 9.8), () -> {
+                kernel.runAfter(draws.between(1.1, 9.8), () -> {
                     if (other.module != null) {
                         other.module.peerMessage(kernel.now(), number, message);
                     }
@@ -318,7 +318,7 @@
     @Override
     public void setTimer(long delay, String token) {
         int born = life;
-        kernel.after(Math.max(1, delay), () -> {
+        kernel.runAfter(Math.max(1, delay), () -> {
             if (lives(born) && module != null && kernel.now() < world.end()) {
                 module.timerFired(kernel.now(), token);
             }
@@ -330,7 +330,7 @@
         // A service that is asked may be behind: then it says so, and is to be asked again.
         int born = life;
         boolean behind = draws.random.nextDouble() < 0.2;
-        kernel.after(draws.between(5, 60), () -> {
+        kernel.runAfter(draws.between(5, 60), () -> {
             if (lives(born) && behind) {
                 list(ListKind.FAILED, List.of());
             } else if (lives(born)) {
--- a/src/main/java/barrowshore/emulate/Emulator.java
+++ b/src/main/java/barrowshore/emulate/Emulator.java
@@ -4,7 +4,7 @@
 import barrowshore.module.DispatchApi.Settings;
 import barrowshore.module.Dispatcher;
 import barrowshore.module.IndexTableCache;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 
 /** The way in: one scenario, one seed, one report. The same arguments always give the same report. */
 public final class Emulator {
@@ -14,7 +14,7 @@
     private Emulator() {}
 
     /** Plays a scenario at the first site with the operators' settings. */
-    public static Report play(Scenario scenario, Operator operator, long seed) {
+    public static Report play(Scenario scenario, OperatorSettings operator, long seed) {
         return new World(scenario, Deployment.HOME, operator, seed, Emulator::module).play();
     }
 
--- a/src/main/java/barrowshore/emulate/Faults.java
+++ b/src/main/java/barrowshore/emulate/Faults.java
@@ -9,7 +9,7 @@
 /** What a scenario has happen: to machines, schedulers and the connections between them, and to how many clients come. */
 final class Faults {
     private final World world;
-    private final Kernel kernel;
+    private final VirtualClock kernel;
     private final Draws draws;
     private int renewed;
 
@@ -21,18 +21,18 @@
 
     /** Has it happen when it is due. */
     void plan(Scenario.Happening what) {
-        kernel.at(World.START + what.at(), () -> {
+        kernel.runAt(World.START + what.at(), () -> {
             switch (what.what()) {
                 case BURST -> world.clients.burst(what.factor(), what.lasts());
                 case RESTART -> {
                     EmulatedScheduler s = world.schedulers.get(what.scheduler());
                     s.die();
-                    kernel.after(what.lasts(), s::start);
+                    kernel.runAfter(what.lasts(), s::start);
                 }
                 case CUT -> {
                     EmulatedScheduler s = world.schedulers.get(what.scheduler());
                     s.cutFrom.add(what.zone());
-                    kernel.after(what.lasts(), () -> {
+                    kernel.runAfter(what.lasts(), () -> {
                         s.cutFrom.remove(what.zone());
                         s.reconnect(what.zone());
                     });
@@ -63,9 +63,9 @@
             EmulatedNode n = in.get(k);
             boolean returns = k < back;
             long spread = what.spread();
-            kernel.after((long) (draws.fate.nextDouble() * spread), () -> begin(what, n));
+            kernel.runAfter((long) (draws.fate.nextDouble() * spread), () -> begin(what, n));
             if (returns) {
-                kernel.after(what.lasts() + (long) (draws.fate.nextDouble() * spread), () -> end(what, n));
+                kernel.runAfter(what.lasts() + (long) (draws.fate.nextDouble() * spread), () -> end(what, n));
             }
         }
     }
@@ -76,8 +76,8 @@
             case CRASH, RENEW -> n.die(draws.between(550, 5000));
             case DRAIN -> n.drain();
             case UNLIST -> n.tell(Health.GONE, draws.between(260, 1800));
-            case HANG -> n.model.hang(true);
-            case SLOW -> n.model.slow(what.factor());
+            case HANG -> n.model.setHung(true);
+            case SLOW -> n.model.setSlowdown(what.factor());
             default -> throw new IllegalStateException("nothing begins with " + what.what());
         }
     }
@@ -95,15 +95,15 @@
             }
             case DRAIN -> n.rise();
             case UNLIST -> n.tell(Health.READY, draws.between(260, 1800));
-            case HANG -> n.model.hang(false);
-            case SLOW -> n.model.slow(1);
+            case HANG -> n.model.setHung(false);
+            case SLOW -> n.model.setSlowdown(1);
             default -> throw new IllegalStateException("nothing ends with " + what.what());
         }
     }
 
     /** One trouble of a single node or a few, as seen in service (8.2 to 8.5). */
     private void trouble(Scenario.Happening when) {
-        kernel.after((long) (draws.fate.nextDouble() * when.lasts() / 2), () -> {
+        kernel.runAfter((long) (draws.fate.nextDouble() * when.lasts() / 2), () -> {
             int count = world.nodes.size();
             int kind = draws.fate.nextInt(4);
             double part =
@@ -132,24 +132,24 @@
                     kind == 0 ? draws.fated(2, 9.9) : kind == 2 ? draws.fated(0.42, 0.94) : draws.fated(0.31, 0.7);
             for (EmulatedNode n : order) {
                 switch (kind) {
-                    case 0 -> n.model.slow(size);
+                    case 0 -> n.model.setSlowdown(size);
                     case 1 -> {
-                        n.model.hang(true);
+                        n.model.setHung(true);
                         world.report.hung(
                                 n.zone,
                                 world.nodes.stream()
-                                        .filter(o -> o.zone == n.zone && o.model.hung())
+                                        .filter(o -> o.zone == n.zone && o.model.isHung())
                                         .count());
                     }
                     case 2 -> n.errors = size;
-                    default -> n.model.slow(1 / (1 - size));
+                    default -> n.model.setSlowdown(1 / (1 - size));
                 }
             }
-            kernel.after(
+            kernel.runAfter(
                     lasts,
                     () -> order.forEach(n -> {
-                        n.model.slow(1);
-                        n.model.hang(false);
+                        n.model.setSlowdown(1);
+                        n.model.setHung(false);
                         n.errors = 0;
                     }));
         });
--- a/src/main/java/barrowshore/emulate/Scenario.java
+++ b/src/main/java/barrowshore/emulate/Scenario.java
@@ -68,19 +68,19 @@
 
     private static Scenario of(String file, Element root) {
         List<ZoneSpec> zones = new ArrayList<>();
-        for (Element e : root.all("hall")) {
+        for (Element e : root.childrenNamed("hall")) {
             if (zones.stream().anyMatch(z -> z.name().equals(e.get("name")))) {
-                throw e.wrong(file, e.get("name") + " is there twice");
+                throw e.error(file, e.get("name") + " is there twice");
             }
             zones.add(new ZoneSpec(
                     e.get("name"), (int) e.number("nodes"), (int) e.number("schedulers"), e.number("clients")));
         }
         if (zones.stream().mapToDouble(ZoneSpec::clients).sum() <= 0) {
-            throw root.wrong(file, "no hall has clients");
+            throw root.error(file, "no hall has clients");
         }
         for (ZoneSpec z : zones) {
             if (z.clients() > 0 && z.schedulers() == 0) {
-                throw root.wrong(file, z.name() + " has clients but no scheduler");
+                throw root.error(file, z.name() + " has clients but no scheduler");
             }
         }
         int schedulers = zones.stream().mapToInt(ZoneSpec::schedulers).sum();
@@ -93,12 +93,12 @@
             if (e.get("hall") != null) {
                 zone = zones.stream().map(ZoneSpec::name).toList().indexOf(e.get("hall"));
                 if (zone < 0) {
-                    throw e.wrong(file, "there is no hall " + e.get("hall"));
+                    throw e.error(file, "there is no hall " + e.get("hall"));
                 }
             }
             int scheduler = e.get("scheduler") == null ? -1 : (int) e.number("scheduler");
             if (scheduler >= schedulers) {
-                throw e.wrong(file, "there is no scheduler " + scheduler + "; they are numbered from 0");
+                throw e.error(file, "there is no scheduler " + scheduler + "; they are numbered from 0");
             }
             What what =
                     switch (e.name()) {
--- a/src/main/java/barrowshore/emulate/Rehearsal.java
+++ b/src/main/java/barrowshore/emulate/ScenarioRunner.java
@@ -1,7 +1,7 @@
 package barrowshore.emulate;
 
 import barrowshore.config.ConfigException;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -20,12 +20,18 @@
  * Plays a scenario over one seed or many and prints what came of it: a report for one, a table for many. Seeds are
  * played side by side, each in a world of its own, so their order does not show. It owns what is printed and written.
  */
-public final class Rehearsal {
-    private Rehearsal() {}
+public final class ScenarioRunner {
+    private ScenarioRunner() {}
 
     /** Plays; json null: nothing is written. */
     public static void run(
-            PrintStream out, Scenario scenario, Operator operator, long seed, int seeds, boolean compare, Path json)
+            PrintStream out,
+            Scenario scenario,
+            OperatorSettings operator,
+            long seed,
+            int seeds,
+            boolean compare,
+            Path json)
             throws IOException {
         if (seeds < 1) {
             throw new ConfigException("--seeds must be at least 1");
@@ -34,7 +40,7 @@
             throw new ConfigException("--compare needs --operator with halls, or there is nothing to compare");
         }
         List<Report> on = play(scenario, operator, seed, seeds);
-        List<Report> off = compare ? play(scenario, Operator.NONE, seed, seeds) : List.of();
+        List<Report> off = compare ? play(scenario, OperatorSettings.NONE, seed, seeds) : List.of();
         if (seeds == 1) {
             out.print(on.get(0).table());
             off.forEach(report -> out.print("without the operators' settings:\n" + report.table()));
@@ -72,7 +78,7 @@
         }
     }
 
-    private static List<Report> play(Scenario scenario, Operator operator, long seed, int seeds) {
+    private static List<Report> play(Scenario scenario, OperatorSettings operator, long seed, int seeds) {
         Report[] reports = new Report[seeds];
         LongStream.range(0, seeds)
                 .parallel()
--- a/src/main/java/barrowshore/emulate/Kernel.java
+++ b/src/main/java/barrowshore/emulate/VirtualClock.java
@@ -7,7 +7,7 @@
  * Virtual time: discrete events in the order of their times and, at one time, of their making, so that the same inputs
  * give the same run. It owns the clock and what is still to come; it must never look at the real time.
  */
-public final class Kernel implements Timeline {
+public final class VirtualClock implements Timeline {
     private record Event(long at, long order, Runnable run) {}
 
     private final PriorityQueue<Event> events =
@@ -16,7 +16,7 @@
     private long order;
 
     /** Starts at a time, so that 0 can go on meaning long ago. */
-    public Kernel(long start) {
+    public VirtualClock(long start) {
         now = start;
     }
 
@@ -26,17 +26,17 @@
     }
 
     @Override
-    public void at(long time, Runnable run) {
+    public void runAt(long time, Runnable run) {
         events.add(new Event(Math.max(now, time), order++, run));
     }
 
     /** Runs it so long from now. */
-    public void after(long delay, Runnable run) {
-        at(now + delay, run);
+    public void runAfter(long delay, Runnable run) {
+        runAt(now + delay, run);
     }
 
     /** Runs what is due until then. */
-    public void run(long until) {
+    public void runUntil(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
             Event next = events.poll();
             now = next.at;
@@ -46,7 +46,7 @@
     }
 
     /** How many events there have been. */
-    public long events() {
+    public long eventCount() {
         return order;
     }
 }
--- a/src/main/java/barrowshore/emulate/World.java
+++ b/src/main/java/barrowshore/emulate/World.java
@@ -1,10 +1,10 @@
 package barrowshore.emulate;
 
 import barrowshore.halls.HallState;
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.module.DispatchApi;
 import barrowshore.module.DispatchApi.Settings;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -25,10 +25,10 @@
     /** Time after the last arrival until all is answered. */
     private static final long TAIL = 16 * S;
 
-    final Kernel kernel = new Kernel(START);
+    final VirtualClock kernel = new VirtualClock(START);
     final Scenario scenario;
     final Deployment deployment;
-    final Operator operator;
+    final OperatorSettings operator;
     final Modules modules;
     final Draws draws;
     final Report report;
@@ -55,7 +55,7 @@
         double pace(String worker, double slots);
     }
 
-    World(Scenario scenario, Deployment deployment, Operator operator, long seed, Modules modules) {
+    World(Scenario scenario, Deployment deployment, OperatorSettings operator, long seed, Modules modules) {
         this.scenario = scenario;
         this.deployment = deployment;
         this.operator = operator;
@@ -85,7 +85,7 @@
     }
 
     /** Adds a machine, which no list tells of yet. */
-    EmulatedNode addNode(String id, int zone, int kind, NodeModel.Spec spec) {
+    EmulatedNode addNode(String id, int zone, int kind, WorkerModel.Spec spec) {
         EmulatedNode node = new EmulatedNode(this, id, nodes.size(), zone, kind, spec);
         byId.put(id, node);
         nodes.add(node);
@@ -111,15 +111,15 @@
         schedulers.forEach(EmulatedScheduler::start);
         scenario.happenings().forEach(new Faults(this)::plan);
         // A client's first second has its own clock: schedulers have started by then.
-        kernel.after(S, clients::nextArrival);
+        kernel.runAfter(S, clients::nextArrival);
         for (long t = 0; t < scenario.length() + TAIL; t += 100 * MS) {
-            kernel.after(t, this::look);
+            kernel.runAfter(t, this::look);
         }
-        kernel.run(end());
+        kernel.runUntil(end());
         for (EmulatedNode n : nodes) {
-            report.node(n.model.coldUse(), n.model.pushedOver());
+            report.node(n.model.coldBudgetUsed(), n.model.wasOverloadedByInformedSenders());
         }
-        report.events = kernel.events();
+        report.events = kernel.eventCount();
         return report;
     }
 
@@ -129,7 +129,7 @@
         int zones = scenario.zones().size();
         double[] foreign = new double[zones], usable = new double[zones];
         for (EmulatedNode n : nodes) {
-            if (n.model.up() && !n.vanished) {
+            if (n.model.isUp() && !n.vanished) {
                 usable[n.zone] += n.model.spec().cores();
             }
         }
@@ -156,11 +156,14 @@
             @Override
             public double startsIn(String worker, double slots) {
                 EmulatedNode n = byId.get(worker);
-                if (!n.model.up() || n.vanished || n.model.hung()) {
+                if (!n.model.isUp() || n.vanished || n.model.isHung()) {
                     return Double.POSITIVE_INFINITY;
                 }
-                double over =
-                        Math.max(0, n.model.heldSlots() + slots - n.model.spec().cores());
+                double over = Math.max(
+                        0,
+                        n.model.occupiedAndWaitingSlots()
+                                + slots
+                                - n.model.spec().cores());
                 return over / n.model.spec().cores() * meanSize / n.model.pace() + 2 * draws.way(zone, n.zone);
             }
 
--- a/src/main/java/barrowshore/files/FileMac.java
+++ b/src/main/java/barrowshore/files/FileSigner.java
@@ -22,7 +22,7 @@
  * of which one good one is enough, so that two keys overlap while they are changed. It owns the reading of keys, anew
  * each time, and must never use one that others than its owner can read.
  */
-public final class FileMac {
+public final class FileSigner {
     private static final String ALGORITHM = "HmacSHA256";
     private static final Pattern ID = Pattern.compile("[0-9A-Za-z._-]{1,32}");
     /** Bytes of a key at least, and of a MAC file at most. */
@@ -40,7 +40,7 @@
     private final Path keys;
 
     /** MACs by the keys in a directory: a file {@code ID.key} for each, in hexadecimal. */
-    public FileMac(Path keys) {
+    public FileSigner(Path keys) {
         this.keys = keys;
     }
 
--- a/src/main/java/barrowshore/files/ServersFile.java
+++ b/src/main/java/barrowshore/files/ServersFile.java
@@ -24,26 +24,26 @@
  */
 public final class ServersFile {
     /** The largest file read: 10,000 servers are 1.5 MB. */
-    public static final int MOST_BYTES = 8 << 20;
+    public static final int MAX_BYTES = 8 << 20;
     /** The most servers in a file. */
-    public static final int MOST_SERVERS = 20_000;
+    public static final int MAX_SERVERS = 20_000;
 
     private ServersFile() {}
 
     /** Reads a file; a {@link ConfigException} names line, column and element. */
     public static OperatorServerList read(Path file) {
-        return of(file.toString(), XmlFile.read(file, ServersFile.class, "servers.xsd", MOST_BYTES));
+        return of(file.toString(), XmlFile.read(file, ServersFile.class, "servers.xsd", MAX_BYTES));
     }
 
     /** Reads bytes as the file of that name. */
     public static OperatorServerList parse(String file, byte[] bytes) {
-        return of(file, XmlFile.read(file, bytes, ServersFile.class, "servers.xsd", MOST_BYTES));
+        return of(file, XmlFile.read(file, bytes, ServersFile.class, "servers.xsd", MAX_BYTES));
     }
 
     private static OperatorServerList of(String file, Element root) {
         IPv4AddressTrie four = new IPv4AddressTrie();
         IPv6AddressTrie six = new IPv6AddressTrie();
-        Element networks = root.one("networks");
+        Element networks = root.firstChildNamed("networks");
         if (networks != null) {
             for (Element e : networks.children()) {
                 IPAddress block = block(file, e);
@@ -54,9 +54,9 @@
                 }
             }
         }
-        List<Element> entries = root.all("server");
-        if (entries.size() > MOST_SERVERS) {
-            throw root.wrong(file, entries.size() + " servers, over " + MOST_SERVERS);
+        List<Element> entries = root.childrenNamed("server");
+        if (entries.size() > MAX_SERVERS) {
+            throw root.error(file, entries.size() + " servers, over " + MAX_SERVERS);
         }
         Map<String, Server> servers = new LinkedHashMap<>();
         Map<InetSocketAddress, Server> ends = new HashMap<>();
@@ -64,14 +64,14 @@
             Server server = server(file, e, networks == null ? null : four, six);
             Server before = servers.put(server.uid(), server);
             if (before != null) {
-                throw e.wrong(
+                throw e.error(
                         file,
                         "uid " + server.uid() + " is in line " + before.line() + " already"
                                 + (before.weight() != server.weight() ? ", with another weight" : ""));
             }
             before = ends.put(server.endpoint(), server);
             if (before != null) {
-                throw e.wrong(
+                throw e.error(
                         file,
                         "endpoint " + e.get("endpoint") + " is that of " + before.uid() + " in line " + before.line());
             }
@@ -84,14 +84,14 @@
         try {
             IPAddress block = new IPAddressString(e.get("block")).toAddress();
             if (block == null || block.isMultiple() && !block.isPrefixBlock()) {
-                throw e.wrong(file, e.get("block") + " is no network; its host bits must be 0");
+                throw e.error(file, e.get("block") + " is no network; its host bits must be 0");
             }
             if (block.isPrefixed() && !block.isPrefixBlock()) {
-                throw e.wrong(file, e.get("block") + " is no network; its host bits must be 0");
+                throw e.error(file, e.get("block") + " is no network; its host bits must be 0");
             }
             return block;
         } catch (AddressStringException wrong) {
-            throw e.wrong(file, e.get("block") + " is no network");
+            throw e.error(file, e.get("block") + " is no network");
         }
     }
 
@@ -101,13 +101,13 @@
                 || !host.isAddress()
                 || host.getPort() == null
                 || host.asAddress().isMultiple()) {
-            throw e.wrong(file, "endpoint " + e.get("endpoint") + " is not address:port");
+            throw e.error(file, "endpoint " + e.get("endpoint") + " is not address:port");
         }
         IPAddress address = host.asAddress();
         boolean inside = four == null
                 || (address.isIPv4() ? four.elementContains(address.toIPv4()) : six.elementContains(address.toIPv6()));
         if (!inside) {
-            throw e.wrong(file, "endpoint " + e.get("endpoint") + " is in none of the networks");
+            throw e.error(file, "endpoint " + e.get("endpoint") + " is in none of the networks");
         }
         return new Server(
                 e.get("uid"),
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -39,7 +39,7 @@
 
     private final Path file;
     private final double mostLost;
-    private final FileMac macs;
+    private final FileSigner macs;
     private final Function<OperatorServerList, RuntimeException> taker;
     private final Scheduler timers;
     private final Mailbox mailbox;
@@ -60,7 +60,7 @@
     public WatchedFile(
             Path file,
             double mostLost,
-            FileMac macs,
+            FileSigner macs,
             Executor pool,
             Scheduler timers,
             Function<OperatorServerList, RuntimeException> taker) {
@@ -71,7 +71,7 @@
         this.timers = timers;
         this.mailbox = new Mailbox("the servers' file " + file, pool);
         this.watch = open();
-        mailbox.post(this::look);
+        mailbox.post(this::inspect);
         poll();
     }
 
@@ -116,7 +116,7 @@
         timers.schedule(
                 () -> mailbox.post(() -> {
                     if (!stopped) {
-                        look();
+                        inspect();
                         poll();
                     }
                 }),
@@ -131,20 +131,20 @@
             timers.schedule(
                     () -> mailbox.post(() -> {
                         looking = false;
-                        look();
+                        inspect();
                     }),
                     SETTLE,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void look() {
+    private void inspect() {
         if (stopped || paused) {
             return;
         }
         byte[] now;
         try (InputStream in = Files.newInputStream(file)) {
-            now = in.readNBytes(ServersFile.MOST_BYTES + 1);
+            now = in.readNBytes(ServersFile.MAX_BYTES + 1);
         } catch (IOException e) {
             seen = null;
             say(Level.WARNING, "cannot be read (" + e.getClass().getSimpleName() + ")" + kept());
@@ -193,7 +193,7 @@
         timers.schedule(
                 () -> mailbox.post(() -> {
                     paused = false;
-                    look();
+                    inspect();
                 }),
                 PAUSE,
                 TimeUnit.MILLISECONDS);
@@ -212,7 +212,7 @@
     }
 
     /** Shows the file in use (null: none) to one who only looks. */
-    public void look(Consumer<OperatorServerList> looker) {
+    public void inspect(Consumer<OperatorServerList> looker) {
         mailbox.post(() -> looker.accept(inUse));
     }
 
--- a/src/main/java/barrowshore/fleet/Clients.java
+++ b/src/main/java/barrowshore/fleet/Clients.java
@@ -30,7 +30,7 @@
     private static final int MOST_AT_ONCE = 512;
 
     private final FleetScenario scenario;
-    private final List<Instance> instances;
+    private final List<SchedulerProcess> instances;
     private final ExecutorService threads = Executors.newFixedThreadPool(MOST_AT_ONCE, run -> {
         Thread thread = new Thread(run, "clients");
         thread.setDaemon(true);
@@ -40,7 +40,7 @@
     private final long startNanos;
 
     /** startNanos: when the load's time begins, by System.nanoTime. */
-    Clients(FleetScenario scenario, List<Instance> instances, long startNanos) {
+    Clients(FleetScenario scenario, List<SchedulerProcess> instances, long startNanos) {
         this.scenario = scenario;
         this.instances = instances;
         this.startNanos = startNanos;
@@ -66,11 +66,12 @@
     }
 
     private void ask(int number, double pick) {
-        List<Instance> there = instances.stream().filter(i -> i.inService).toList();
+        List<SchedulerProcess> there =
+                instances.stream().filter(i -> i.inService).toList();
         if (there.isEmpty()) {
             return; // no front would take it
         }
-        Instance to = there.get((int) (pick * there.size()));
+        SchedulerProcess to = there.get((int) (pick * there.size()));
         int type = number % WORK.length;
         String name = StandInConfig.CLASSES.get(type), id = name + "-" + number;
         long sentAt = now();
--- a/src/main/java/barrowshore/fleet/Fleet.java
+++ b/src/main/java/barrowshore/fleet/Fleet.java
@@ -6,11 +6,11 @@
 import barrowshore.fleet.Invariants.Asked;
 import barrowshore.fleet.Invariants.Outage;
 import barrowshore.fleet.Invariants.Worked;
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.standin.StandInConfig;
 import barrowshore.standin.StandInDiscovery;
-import barrowshore.standin.StandInFront;
-import barrowshore.standin.StandInNode;
+import barrowshore.standin.StandInListener;
+import barrowshore.standin.StandInWorker;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -57,7 +57,8 @@
     private static final int CORES = 4, MOST_AT_ONCE = 64;
 
     /** What came of a run: counts by answer, what is broken (empty if nothing), memory and processor time of schedulers. */
-    public record Outcome(Map<String, Long> answers, List<String> broken, double mostMemory, double processorSeconds) {}
+    public record Outcome(
+            Map<String, Long> answers, List<String> violations, double mostMemory, double processorSeconds) {}
 
     private final FleetScenario scenario;
     private final Path folder;
@@ -66,22 +67,22 @@
     private final ExecutorService pool = Executors.newFixedThreadPool(4, run -> daemon(run, "stand-ins"));
     private final ScheduledExecutorService faults;
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final List<Instance> instances = new ArrayList<>();
+    private final List<SchedulerProcess> instances = new ArrayList<>();
     private final List<StandInDiscovery> discoveries = new ArrayList<>();
-    private final List<StandInNode> workers = new ArrayList<>();
+    private final List<StandInWorker> workers = new ArrayList<>();
     private final Queue<Outage> outages = new ConcurrentLinkedQueue<>();
     private final Map<Integer, Long> downSince = new HashMap<>();
     private final Queue<String> events = new ConcurrentLinkedQueue<>();
     private final List<Future<?>> under = new ArrayList<>();
-    private StandInFront front;
-    private PeerHub hub;
+    private StandInListener front;
+    private PeerNetwork hub;
     private long startNanos = System.nanoTime();
 
     private Fleet(FleetScenario scenario, Path folder, Path deploy, PrintStream out) throws IOException {
         this.scenario = scenario;
         this.folder = folder;
         this.out = out;
-        this.command = Instance.command(deploy);
+        this.command = SchedulerProcess.launchCommand(deploy);
         this.faults = Executors.newScheduledThreadPool(
                 2 + Math.min(MOST_AT_ONCE, scenario.faults().size()), run -> daemon(run, "faults"));
         Files.createDirectories(folder);
@@ -97,7 +98,7 @@
      * Plays it. folder: where logs, configurations and figures go; deploy: the deploy file whose `run` has the JVM's
      * options, or null for none. A {@link ConfigException} says why nothing was started, or which process did not come up.
      */
-    public static Outcome play(FleetScenario scenario, Path folder, Path deploy, PrintStream out) throws Exception {
+    public static Outcome run(FleetScenario scenario, Path folder, Path deploy, PrintStream out) throws Exception {
         long room = available();
         if ((long) scenario.schedulers() * MIB_EACH > room) {
             throw new ConfigException(scenario.schedulers() + " schedulers need " + scenario.schedulers() * MIB_EACH
@@ -124,58 +125,62 @@
 
     private void start() throws Exception {
         timers.start();
-        front = new StandInFront(pool, timers, MOST_CONNECTIONS);
-        hub = new PeerHub(scenario.schedulers(), scenario.loss(), scenario.seed());
+        front = new StandInListener(pool, timers, MOST_CONNECTIONS);
+        hub = new PeerNetwork(scenario.schedulers(), scenario.loss(), scenario.seed());
         for (int k = 0; k < scenario.schedulers(); k++) {
             discoveries.add(new StandInDiscovery(front, pool, timers));
         }
         for (int w = 0; w < scenario.workers(); w++) {
             double speed = w % 3 == 0 ? 0.7 : 1;
-            workers.add(new StandInNode(
+            workers.add(new StandInWorker(
                     "s-" + w,
-                    new NodeModel.Spec(CORES, speed, 40, w % 2 == 0, StandInConfig.START_CAPACITY, StandInConfig.COLD),
-                    new NodeModel.Falling(StandInConfig.MULTIPLE, StandInConfig.FALL, StandInConfig.USUAL_JOB),
-                    StandInConfig.PROGRESS,
+                    new WorkerModel.Spec(
+                            CORES, speed, 40, w % 2 == 0, StandInConfig.START_CAPACITY, StandInConfig.WARM_UP_MICROS),
+                    new WorkerModel.OverloadLimit(
+                            StandInConfig.OVERLOAD_MULTIPLE,
+                            StandInConfig.OVERLOAD_WINDOW_MICROS,
+                            StandInConfig.MEAN_JOB_MICROS),
+                    StandInConfig.PROGRESS_INTERVAL_MICROS,
                     front,
                     pool,
                     timers));
             tell(w, "Ready", 0);
         }
         for (int k = 0; k < scenario.schedulers(); k++) {
-            instances.add(new Instance(k, folder, command));
+            instances.add(new SchedulerProcess(k, folder, command));
         }
         for (int from = 0; from < instances.size(); from += WAVE) {
-            List<Instance> wave = instances.subList(from, Math.min(instances.size(), from + WAVE));
-            for (Instance one : wave) {
+            List<SchedulerProcess> wave = instances.subList(from, Math.min(instances.size(), from + WAVE));
+            for (SchedulerProcess one : wave) {
                 one.start(config(one));
             }
-            for (Instance one : wave) {
+            for (SchedulerProcess one : wave) {
                 one.awaitReady();
             }
             out.printf("%d of %d schedulers are ready%n", from + wave.size(), instances.size());
         }
     }
 
-    private String config(Instance one) throws IOException {
+    private String config(SchedulerProcess one) throws IOException {
         List<String> peers = new ArrayList<>();
         for (int k = 0; k < scenario.schedulers(); k++) {
-            peers.add(StandInConfig.text(hub.door(k)));
+            peers.add(StandInConfig.formatAddress(hub.publicAddress(k)));
         }
-        return StandInConfig.of(
+        return StandInConfig.toJson(
                 "n" + one.number,
                 one.address(),
                 discoveries.get(one.number).address(),
                 one.number,
                 one.number % StandInConfig.HALLS.size(),
-                hub.listen(one.number),
+                hub.listenAddress(one.number),
                 peers,
-                hub.all());
+                hub.broadcastAddress());
     }
 
     private void tell(int worker, String state, long boot) {
-        StandInNode node = workers.get(worker);
+        StandInWorker node = workers.get(worker);
         for (StandInDiscovery each : discoveries) {
-            each.tell(
+            each.publish(
                     node.uid(),
                     node.address(),
                     StandInConfig.HALLS.get(worker % StandInConfig.HALLS.size()),
@@ -263,33 +268,33 @@
                 event("whole again", f.others().toString());
             }
             case SILENCE -> {
-                discoveries.get(f.one()).silent(true);
+                discoveries.get(f.one()).setSilent(true);
                 Thread.sleep(lasts);
-                discoveries.get(f.one()).silent(false);
+                discoveries.get(f.one()).setSilent(false);
                 event("heard again", f.one());
             }
             case CRASH -> crash(f.one(), lasts);
             case HANG -> {
-                workers.get(f.one()).hang(true).join();
+                workers.get(f.one()).setHung(true).join();
                 Thread.sleep(lasts);
-                workers.get(f.one()).hang(false).join();
+                workers.get(f.one()).setHung(false).join();
             }
             case SLOW -> {
-                workers.get(f.one()).slow(f.factor()).join();
+                workers.get(f.one()).setSlowdown(f.factor()).join();
                 Thread.sleep(lasts);
-                workers.get(f.one()).slow(1).join();
+                workers.get(f.one()).setSlowdown(1).join();
             }
             case DRAIN -> {
-                workers.get(f.one()).drain(true).join();
+                workers.get(f.one()).setDraining(true).join();
                 tell(f.one(), "Terminating", 0);
-                workers.get(f.one()).nothingNewAfter(GRACE + untilHeard(f.at()));
+                workers.get(f.one()).countJobsAsLateAfter(GRACE + untilHeard(f.at()));
             }
             default -> throw new IllegalStateException("nothing begins with " + f.what());
         }
     }
 
     private void start(int scheduler) throws Exception {
-        Instance instance = instances.get(scheduler);
+        SchedulerProcess instance = instances.get(scheduler);
         instance.leave();
         instance.start(config(instance));
         instance.awaitReady();
@@ -298,7 +303,7 @@
     }
 
     private void pause(int scheduler, long lasts) throws Exception {
-        Instance instance = instances.get(scheduler);
+        SchedulerProcess instance = instances.get(scheduler);
         long from = now();
         instance.signal("STOP");
         Thread.sleep(Math.min(NOTICES, lasts));
@@ -311,7 +316,7 @@
     }
 
     private void crash(int worker, long lasts) throws Exception {
-        StandInNode node = workers.get(worker);
+        StandInWorker node = workers.get(worker);
         node.crash().join();
         Thread.sleep(Math.min(GONE, lasts));
         tell(worker, "Gone", 0);
@@ -331,7 +336,7 @@
     }
 
     /** The front notices a while later that it is gone, unless it has been started again meanwhile. */
-    private void noticed(Instance one, long millis) {
+    private void noticed(SchedulerProcess one, long millis) {
         int life = one.lives();
         after(millis, () -> one.inService &= one.lives() != life);
     }
@@ -362,8 +367,8 @@
     private Outcome conclude(List<Asked> asked) throws Exception {
         double memory = 0, processor = 0;
         StringBuilder members = new StringBuilder("scheduler,pid,memory_mib,processor_s\n");
-        for (Instance one : instances) {
-            if (one.alive()) {
+        for (SchedulerProcess one : instances) {
+            if (one.isAlive()) {
                 double[] use = one.use();
                 memory = Math.max(memory, use[0]);
                 processor += use[1];
@@ -374,23 +379,23 @@
             downSince.forEach((scheduler, since) -> outages.add(new Outage(scheduler, since, Long.MAX_VALUE)));
         }
         List<String> left = new ArrayList<>();
-        for (Instance one : instances) {
-            if (!one.alive()
+        for (SchedulerProcess one : instances) {
+            if (!one.isAlive()
                     && scenario.faults().stream()
                             .noneMatch(f -> f.one() == one.number
                                     && (f.what() == FleetScenario.What.KILL || f.what() == FleetScenario.What.TERM))) {
-                left.add("scheduler " + one.number + " ended by itself, see " + one.log());
+                left.add("scheduler " + one.number + " ended by itself, see " + one.logFile());
             }
-            if (!one.end()) {
+            if (!one.stop()) {
                 left.add("scheduler " + one.number + ", process " + one.pid());
             }
         }
         Map<String, Integer> runs = new HashMap<>();
         List<Worked> worked = new ArrayList<>();
-        for (StandInNode node : workers) {
-            StandInNode.Count count = node.count().join();
-            count.runs().forEach((id, times) -> runs.merge(id, times, Integer::sum));
-            worked.add(new Worked(node.uid(), count.late(), count.fallen(), count.coldUse()));
+        for (StandInWorker node : workers) {
+            StandInWorker.Counters count = node.counters().join();
+            count.startsByJobId().forEach((id, times) -> runs.merge(id, times, Integer::sum));
+            worked.add(new Worked(node.uid(), count.lateJobs(), count.failedFromOverload(), count.coldBudgetUsed()));
         }
         List<String> broken = new ArrayList<>(Invariants.broken(asked, runs, List.copyOf(outages), worked, left));
         if (hub.tooLong() > 0) {
@@ -465,11 +470,11 @@
     /** Ends every process and all that was started for them. */
     private void end() throws Exception {
         faults.shutdownNow();
-        for (Instance one : instances) {
-            one.end();
+        for (SchedulerProcess one : instances) {
+            one.stop();
         }
         discoveries.forEach(StandInDiscovery::stop);
-        workers.forEach(StandInNode::stop);
+        workers.forEach(StandInWorker::stop);
         if (front != null) {
             front.stop();
         }
--- a/src/main/java/barrowshore/fleet/FleetScenario.java
+++ b/src/main/java/barrowshore/fleet/FleetScenario.java
@@ -66,20 +66,20 @@
             boolean worker = e.get("worker") != null;
             int one = what == What.PARTITION ? -1 : (int) e.number(worker ? "worker" : "scheduler");
             if (one >= (worker ? workers : schedulers)) {
-                throw e.wrong(
+                throw e.error(
                         file,
                         "there is no " + (worker ? "worker " : "scheduler ") + one + "; they are numbered from 0");
             }
             if (e.micros("at") + e.micros("for") > length) {
-                throw e.wrong(file, "it is not over before the load is");
+                throw e.error(file, "it is not over before the load is");
             }
             List<Integer> others = new ArrayList<>();
             for (String word : what == What.PARTITION ? e.get("schedulers").split("\\s+") : new String[0]) {
                 if (Integer.parseInt(word) >= schedulers) {
-                    throw e.wrong(file, "there is no scheduler " + word + "; they are numbered from 0");
+                    throw e.error(file, "there is no scheduler " + word + "; they are numbered from 0");
                 }
                 if (others.contains(Integer.parseInt(word))) {
-                    throw e.wrong(file, "scheduler " + word + " is there twice");
+                    throw e.error(file, "scheduler " + word + " is there twice");
                 }
                 others.add(Integer.parseInt(word));
             }
@@ -115,12 +115,12 @@
             }
             boolean was = up.getOrDefault(f.one(), true);
             if (was == (f.what() == What.START)) {
-                throw at.wrong(file, "scheduler " + f.one() + " is " + (was ? "up" : "down") + " by then");
+                throw at.error(file, "scheduler " + f.one() + " is " + (was ? "up" : "down") + " by then");
             }
             up.put(f.one(), f.what() == What.START || f.what() == What.PAUSE);
         }
         if (up.values().stream().filter(u -> !u).count() >= schedulers) {
-            throw at.wrong(file, "nobody is left to serve");
+            throw at.error(file, "nobody is left to serve");
         }
     }
 }
--- a/src/main/java/barrowshore/fleet/PeerHub.java
+++ b/src/main/java/barrowshore/fleet/PeerNetwork.java
@@ -22,15 +22,15 @@
  * these sockets and the thread that carries datagrams between them, loses some and cuts parts off from one another. It
  * must never read what they say, nor carry one from an address that is no scheduler's.
  */
-public final class PeerHub implements AutoCloseable {
+public final class PeerNetwork implements AutoCloseable {
     /** The platform's most, and one more to see a longer one. */
     private static final int MOST = 256;
 
     /** Bytes of the IP and UDP heads of a datagram. */
-    public static final int HEADS = 28;
+    public static final int HEADER_BYTES = 28;
 
     /** What one scheduler has sent, once for all others, and been brought; bytes with heads. */
-    public record Traffic(long sent, long sentBytes, long brought, long broughtBytes) {}
+    public record Traffic(long sent, long sentBytes, long delivered, long deliveredBytes) {}
 
     private final List<DatagramChannel> doors = new ArrayList<>();
     private final DatagramChannel all;
@@ -47,7 +47,7 @@
     private volatile long carried, lost, tooLong;
 
     /** So many schedulers, each at a free port of its own that it will listen on. */
-    public PeerHub(int count, double loss, long seed) throws IOException {
+    public PeerNetwork(int count, double loss, long seed) throws IOException {
         this.loss = loss;
         this.chance = new SplittableRandom(seed);
         sent = new AtomicLongArray(count);
@@ -87,17 +87,17 @@
     }
 
     /** Where a scheduler listens. */
-    public InetSocketAddress listen(int scheduler) {
+    public InetSocketAddress listenAddress(int scheduler) {
         return schedulers.get(scheduler);
     }
 
     /** Where the others know a scheduler. */
-    public InetSocketAddress door(int scheduler) throws IOException {
+    public InetSocketAddress publicAddress(int scheduler) throws IOException {
         return (InetSocketAddress) doors.get(scheduler).getLocalAddress();
     }
 
     /** Where a datagram to all others goes. */
-    public InetSocketAddress all() throws IOException {
+    public InetSocketAddress broadcastAddress() throws IOException {
         return (InetSocketAddress) all.getLocalAddress();
     }
 
@@ -137,7 +137,7 @@
                     if (from != null) {
                         in.flip();
                         sent.incrementAndGet(from);
-                        sentBytes.addAndGet(from, in.remaining() + HEADS);
+                        sentBytes.addAndGet(from, in.remaining() + HEADER_BYTES);
                         tooLong += in.remaining() > MOST ? 1 : 0;
                         int to = (Integer) key.attachment();
                         for (int k = 0; k < doors.size(); k++) {
@@ -162,7 +162,7 @@
             lost++;
             return;
         }
-        int bytes = message.remaining() + HEADS;
+        int bytes = message.remaining() + HEADER_BYTES;
         doors.get(from).send(message, schedulers.get(to));
         brought.incrementAndGet(to);
         broughtBytes.addAndGet(to, bytes);
--- a/src/main/java/barrowshore/fleet/Instance.java
+++ b/src/main/java/barrowshore/fleet/SchedulerProcess.java
@@ -21,7 +21,7 @@
  * from start to end, over restarts under the same name, and ends it by its id. It must never be left behind: the process
  * itself watches whoever started it.
  */
-public final class Instance {
+public final class SchedulerProcess {
     /** How long a start may take, on a machine that starts many at once. */
     private static final long READY_SECONDS = 90;
     /** The platform ends one that was told to end after the longest deadline and 0.7 s; a slow machine gets more. */
@@ -41,7 +41,7 @@
     volatile boolean inService;
 
     /** command: what runs `serve`, without its arguments. */
-    public Instance(int number, Path folder, List<String> command) throws IOException {
+    public SchedulerProcess(int number, Path folder, List<String> command) throws IOException {
         this.number = number;
         this.folder = folder;
         this.command = command;
@@ -53,7 +53,7 @@
      * The production command line's options for the JVM, of the deploy file's `run`, before this program's own jar or
      * classes.
      */
-    public static List<String> command(Path deploy) {
+    public static List<String> launchCommand(Path deploy) {
         List<String> all =
                 new ArrayList<>(List.of(ProcessHandle.current().info().command().orElse("java")));
         if (deploy != null) {
@@ -87,7 +87,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    public Path log() {
+    public Path logFile() {
         return folder.resolve("n" + number + ".log");
     }
 
@@ -98,7 +98,7 @@
         Files.createDirectories(temporary);
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().put("GW_NAME", "n" + number);
         builder.environment().put("TMPDIR", temporary.toString());
@@ -129,7 +129,7 @@
                         + (mine.isAlive()
                                 ? " was not ready in " + READY_SECONDS + " s"
                                 : " ended with exit code " + mine.exitValue() + " before it was ready")
-                        + "; see " + log());
+                        + "; see " + logFile());
             }
         }
         inService = true;
@@ -155,7 +155,7 @@
         return lives;
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -182,12 +182,12 @@
     /** Waits for one that was told to end, which still answers what it holds; one that does not go is ended. */
     void leave() throws InterruptedException, IOException {
         if (!process.waitFor(LEAVES_SECONDS, TimeUnit.SECONDS)) {
-            end();
+            stop();
         }
     }
 
     /** Ends it for good and waits until it is gone; whether it is. */
-    public boolean end() throws InterruptedException, IOException {
+    public boolean stop() throws InterruptedException, IOException {
         reserved.close();
         if (process == null) {
             return true;
--- a/src/main/java/barrowshore/halls/HallServer.java
+++ b/src/main/java/barrowshore/halls/HallServer.java
@@ -2,7 +2,7 @@
 
 /**
  * What is known of one server as a part of its hall: whether it is listed, what it can do, what of ours is out
- * there, the last sign of it and what speaks against it. It belongs to one {@link Halls} and decides nothing.
+ * there, the last sign of it and what speaks against it. It belongs to one {@link HallSettings} and decides nothing.
  */
 public final class HallServer {
     /** What speaks against a server. */
--- a/src/main/java/barrowshore/list/ServerList.java
+++ b/src/main/java/barrowshore/list/ServerList.java
@@ -86,7 +86,7 @@
                 throw new IllegalArgumentException("a target lacks its uid or state");
             }
             String endpoint = t.get("endpoint") instanceof String s ? s : "";
-            int kind = names.kinds().indexOf(SettingsReader.plain(t.get("model")));
+            int kind = names.kinds().indexOf(SettingsReader.normalizeName(t.get("model")));
             if (kind < 0 && !names.kinds().isEmpty() && state.equals("Ready")) {
                 unknown.add(uid); // guards the module against a kind that its settings do not name
                 continue;
@@ -94,8 +94,8 @@
             entries.add(new Entry(
                     uid,
                     endpoint,
-                    endpoint.isEmpty() ? null : Json.address(endpoint, "endpoint"),
-                    names.zones().indexOf(SettingsReader.plain(t.get("az"))),
+                    endpoint.isEmpty() ? null : Json.parseAddress(endpoint, "endpoint"),
+                    names.zones().indexOf(SettingsReader.normalizeName(t.get("az"))),
                     Math.max(0, kind),
                     (int) number(t.get("pod_group"), 0),
                     switch (state) {
--- a/src/main/java/barrowshore/model/NodeModel.java
+++ b/src/main/java/barrowshore/model/WorkerModel.java
@@ -11,7 +11,7 @@
  * drain. Nothing that waits or runs is ever cancelled. It owns the jobs that it was offered, each until its one end, and
  * must never know who offered them or over what. Pure: time comes from a {@link Timeline}; not thread-safe.
  */
-public final class NodeModel {
+public final class WorkerModel {
     /** Chance: a cold node falls over above N + 3 sqrt(N) + 3 mean jobs in a window, N being what the limit allows. */
     private static final double SLACK = 3;
     /** The part of what pushed it over that must have come from senders who knew, for the rule to be broken. */
@@ -24,7 +24,7 @@
     public record Spec(int cores, double speed, double queue, boolean backfill, double coldFrom, long coldTime) {}
 
     /** What pushes a cold node over: so many times its present capacity for so long. meanJob: work of a usual job. */
-    public record Falling(double multiple, long window, double meanJob) {}
+    public record OverloadLimit(double multiple, long window, double meanJob) {}
 
     /** A job on a node; work in microseconds at speed 1. The calls come in order, and the last one is one of four. */
     public interface Job {
@@ -38,7 +38,7 @@
         }
 
         /** Whether whoever sent it had been told that the node has just started. */
-        default boolean knowing() {
+        default boolean senderKnewOfRestart() {
             return true;
         }
 
@@ -72,7 +72,7 @@
 
     private final Timeline time;
     private final Spec spec;
-    private final Falling falling;
+    private final OverloadLimit falling;
     private final long progressEvery;
     private final Deque<Job> queue = new ArrayDeque<>();
     private final List<Running> running = new ArrayList<>();
@@ -91,7 +91,7 @@
     private long served;
 
     /** A node that has been up for long. progressEvery: microseconds between notes of progress; 0: none. */
-    public NodeModel(Timeline time, Spec spec, Falling falling, long progressEvery) {
+    public WorkerModel(Timeline time, Spec spec, OverloadLimit falling, long progressEvery) {
         this.time = time;
         this.spec = spec;
         this.falling = falling;
@@ -99,21 +99,21 @@
         this.settledAt = time.now();
     }
 
-    public boolean up() {
+    public boolean isUp() {
         return up;
     }
 
     /** Whether it fell over while cold. */
-    public boolean fallen() {
+    public boolean hasFailedFromOverload() {
         return fallen;
     }
 
     /** Whether it fell over under what came from senders that knew of its start: two thirds of it, as the rule has it. */
-    public boolean pushedOver() {
+    public boolean wasOverloadedByInformedSenders() {
         return pushedOver;
     }
 
-    public boolean hung() {
+    public boolean isHung() {
         return hung;
     }
 
@@ -121,12 +121,12 @@
         return spec;
     }
 
-    public int held() {
+    public int jobCount() {
         return queue.size() + running.size();
     }
 
     /** Slots of what waits and runs. */
-    public double heldSlots() {
+    public double occupiedAndWaitingSlots() {
         return waitingSlots + used();
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** How many jobs wait. */
-    public int waiting() {
+    public int waitingJobs() {
         return queue.size();
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** The most that came while it was cold from senders who knew of it, against what would have pushed it over. */
-    public double coldUse() {
+    public double coldBudgetUsed() {
         return coldUse;
     }
 
@@ -247,7 +247,7 @@
     private void weigh(Job job) {
         long now = time.now();
         double size = job.work() * job.slots();
-        arrivals.add(new Arrival(now, size, job.knowing()));
+        arrivals.add(new Arrival(now, size, job.senderKnewOfRestart()));
         arrived += size;
         while (arrivals.peek().at() <= now - falling.window()) {
             arrived -= arrivals.poll().size();
@@ -336,7 +336,7 @@
     private void plan(Running r) {
         int plan = ++r.plan;
         if (!hung) {
-            time.at(finish(time.now(), Math.max(0, r.left)), () -> {
+            time.runAt(finish(time.now(), Math.max(0, r.left)), () -> {
                 if (plan == r.plan && up && running.contains(r)) {
                     settle();
                     running.remove(r);
@@ -351,7 +351,7 @@
 
     private void note(Running r) {
         if (progressEvery > 0) {
-            time.at(time.now() + progressEvery, () -> {
+            time.runAt(time.now() + progressEvery, () -> {
                 if (up && running.contains(r)) {
                     if (!hung) {
                         settle();
@@ -377,14 +377,14 @@
     }
 
     /** From now on everything takes so many times as long. */
-    public void slow(double factor) {
+    public void setSlowdown(double factor) {
         settle();
         slowness = factor;
         replan();
     }
 
     /** It takes work and answers nothing, or goes on with what it has. */
-    public void hang(boolean on) {
+    public void setHung(boolean on) {
         settle();
         hung = on;
         replan();
@@ -397,7 +397,7 @@
     }
 
     /** It finishes what it runs, hands back what waits and takes nothing new; or takes work again. */
-    public void drain(boolean on) {
+    public void setDraining(boolean on) {
         draining = on;
         if (on) {
             List<Job> waiting = List.copyOf(queue);
--- a/src/main/java/barrowshore/node/JobScheduler.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -10,10 +10,10 @@
 import barrowshore.net.Clock;
 import barrowshore.net.ConnectionManager;
 import barrowshore.net.Mailbox;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
-import barrowshore.operator.SetupFiles;
-import barrowshore.ops.OpsDoor;
+import barrowshore.operator.ConfigFiles;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
+import barrowshore.ops.OpsServer;
 import barrowshore.peer.PeerMessenger;
 import barrowshore.servers.Server;
 import barrowshore.servers.ServiceDiscovery;
@@ -102,7 +102,7 @@
     private final int incoming;
     private boolean halved;
     /** The operators' door; null: none. */
-    private final OpsDoor ops;
+    private final OpsServer ops;
     /** Where we stand towards clients: set by orders from outside, read by the connections. */
     private final AtomicReference<ServiceState> standing = new AtomicReference<>(ServiceState.SERVING);
     /** What is read again runs here, one file after the other. */
@@ -110,20 +110,24 @@
     /** As last taken over. */
     private volatile Config config;
     /** The operators' servers' file; null: none. */
-    private final Operator.Servers servers;
+    private final OperatorSettings.ServersFileSettings servers;
     /** The rules on halls last taken over. */
     private HallRules rules;
 
     /** Starts a scheduler; the timers are started by the caller and stopped with the node. */
     JobScheduler(
-            Setup setup, Clock clock, Scheduler timers, Path twin, Function<DispatchApi.Actions, DispatchApi> newModule)
+            SchedulerConfig setup,
+            Clock clock,
+            Scheduler timers,
+            Path twin,
+            Function<DispatchApi.Actions, DispatchApi> newModule)
             throws Exception {
         Config config = setup.config();
         this.config = config;
-        this.rules = setup.rules();
-        this.servers = setup.operator().servers();
+        this.rules = setup.hallRules();
+        this.servers = setup.operatorSettings().servers();
         this.timers = timers;
-        int usable = config.sockets() - RESERVED - (config.ops() == null ? 0 : OpsDoor.DESCRIPTORS);
+        int usable = config.sockets() - RESERVED - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
         outgoing = (int) (usable * OUTGOING);
         incoming = usable - outgoing;
         dialer = new ConnectionManager(
@@ -138,9 +142,10 @@
                 this::tell,
                 newModule);
         clients = new ClientConnections(config, clock, pool, timers, module, standing::get, mostClients(incoming));
-        keeper = setup.operator().servers() == null
+        keeper = setup.operatorSettings().servers() == null
                 ? null
-                : new ListKeeper(setup.operator().servers(), config.names(), clock, pool, timers, module::update);
+                : new ListKeeper(
+                        setup.operatorSettings().servers(), config.names(), clock, pool, timers, module::update);
         entry = new ServiceDiscovery(
                 config.discovery(),
                 config.names(),
@@ -148,8 +153,8 @@
                 dialer,
                 timers,
                 keeper == null ? module::update : keeper::discovered,
-                () -> module.discoverySilent(config.known()),
-                config.known(),
+                () -> module.discoverySilent(config.knownServers()),
+                config.knownServers(),
                 config.grace());
         peers = config.peers() == null
                 ? null
@@ -174,18 +179,18 @@
             ops = null;
         } else {
             module.startPublishing();
-            ops = new OpsDoor(listen(config.ops(), "ops", false), timers, new Door());
+            ops = new OpsServer(listen(config.ops(), "ops", false), timers, new Door());
         }
         logStart(setup);
     }
 
-    private void logStart(Setup setup) {
+    private void logStart(SchedulerConfig setup) {
         LOG.log(
                 Level.INFO,
                 config.summary()
                         + (rules == null && servers == null
                                 ? ""
-                                : "; " + setup.operator().summary()));
+                                : "; " + setup.operatorSettings().summary()));
         // Once ready, since a start is short of processor time.
         module.whenReady(() -> {
             List<String> unknown = config.unknownSettings();
@@ -193,11 +198,11 @@
                 LOG.log(Level.WARNING, "settings not known here, and not heeded: {0}", String.join(", ", unknown));
             }
         });
-        if (!config.known().unknownServers().isEmpty()) {
+        if (!config.knownServers().unknownServers().isEmpty()) {
             LOG.log(
                     Level.WARNING,
                     "known servers of an unknown model, left out: {0}",
-                    String.join(", ", config.known().unknownServers()));
+                    String.join(", ", config.knownServers().unknownServers()));
         }
     }
 
@@ -289,19 +294,19 @@
     }
 
     /** What operators may ask of it; all of it published values, so that no call waits for an actor. */
-    private final class Door implements OpsDoor.Desk {
+    private final class Door implements OpsServer.SchedulerControl {
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return module.figures().ready() && open.isDone() && !standing.get().isEnding();
         }
 
         @Override
-        public SchedulerMetrics figures() {
+        public SchedulerMetrics metrics() {
             return module.figures();
         }
 
         @Override
-        public boolean sendAway() {
+        public boolean drain() {
             return ordered(true);
         }
 
@@ -333,11 +338,11 @@
     }
 
     /** Serves until SIGTERM; then goes on until all is answered and the clients' connections are gone. */
-    public static void serve(SetupFiles files) throws Exception {
+    public static void serve(ConfigFiles files) throws Exception {
         CompletableFuture<JobScheduler> started = new CompletableFuture<>();
         // Guards against the JVM's own way with SIGHUP, which is to end: in place before there is anything to end.
         boolean signalled = onHangUp(() -> started.thenAccept(node -> node.reload(files::read)));
-        Setup setup = files.read();
+        SchedulerConfig setup = files.read();
         Config config = setup.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
@@ -389,7 +394,7 @@
     }
 
     /** Starts a scheduler inside another program, which stops it. */
-    public static JobScheduler start(Setup setup) throws Exception {
+    public static JobScheduler start(SchedulerConfig setup) throws Exception {
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
         return new JobScheduler(
@@ -415,7 +420,7 @@
     }
 
     /** Asks itself for a job of the first class over a socket, as a client would, and ends. */
-    public static void rehearse(Setup setup) throws Exception {
+    public static void rehearse(SchedulerConfig setup) throws Exception {
         Config config = setup.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
@@ -472,15 +477,15 @@
     }
 
     /** Stands in for a signal that cannot be heard: a file that has changed is read as if it had come. */
-    void lookAgain(SetupFiles files) {
+    void lookAgain(ConfigFiles files) {
         configuration.post(() -> {
-            if (files.changed()) {
+            if (files.isConfigChanged()) {
                 module.loaded(takeOver(files::read));
             }
         });
     }
 
-    private void keepLooking(SetupFiles files) {
+    private void keepLooking(ConfigFiles files) {
         timers.schedule(
                 () -> {
                     lookAgain(files);
@@ -491,20 +496,20 @@
     }
 
     /** Reads the configuration again and takes over what may change while requests are open; a bad one changes nothing. */
-    void reload(Supplier<Setup> source) {
+    void reload(Supplier<SchedulerConfig> source) {
         configuration.post(() -> module.loaded(takeOver(source)));
     }
 
-    private boolean takeOver(Supplier<Setup> source) {
+    private boolean takeOver(Supplier<SchedulerConfig> source) {
         try {
-            Setup setup = source.get();
-            Config read = setup.config().inPlaceOf(config);
+            SchedulerConfig setup = source.get();
+            Config read = setup.config().asReloadOf(config);
             LOG.log(Level.INFO, "configuration read again: discovery {0}", read.discovery());
-            List<String> later = config.differing(setup.config());
+            List<String> later = config.fieldsNeedingRestart(setup.config());
             if (!later.isEmpty()) {
                 LOG.log(Level.WARNING, "changed, but taken over only at a start: {0}", String.join(", ", later));
             }
-            if (!Objects.equals(servers, setup.operator().servers())) {
+            if (!Objects.equals(servers, setup.operatorSettings().servers())) {
                 LOG.log(Level.WARNING, "operators' settings: servers changed, but is taken over only at a start");
             }
             module.settings(read.settings(), read.classes());
@@ -512,13 +517,13 @@
             config = read;
             entry.setGrace(read.grace());
             entry.setAddress(read.discovery());
-            if (!Objects.equals(rules, setup.rules())) {
-                rules = setup.rules();
+            if (!Objects.equals(rules, setup.hallRules())) {
+                rules = setup.hallRules();
                 module.rules(rules);
                 LOG.log(
                         Level.INFO,
                         "operators' settings read again: {0}",
-                        setup.operator().summary());
+                        setup.operatorSettings().summary());
             }
             return true;
         } catch (ConfigException e) {
--- a/src/main/java/barrowshore/node/ListKeeper.java
+++ b/src/main/java/barrowshore/node/ListKeeper.java
@@ -1,6 +1,6 @@
 package barrowshore.node;
 
-import barrowshore.files.FileMac;
+import barrowshore.files.FileSigner;
 import barrowshore.files.WatchedFile;
 import barrowshore.list.OperatorServerList;
 import barrowshore.list.ServerList.Update;
@@ -8,7 +8,7 @@
 import barrowshore.list.ServerListMerger;
 import barrowshore.net.Clock;
 import barrowshore.net.Mailbox;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.Executor;
@@ -40,7 +40,7 @@
     private boolean told;
 
     ListKeeper(
-            Operator.Servers rules,
+            OperatorSettings.ServersFileSettings rules,
             ZoneKindNames names,
             Clock clock,
             Executor pool,
@@ -50,12 +50,12 @@
         this.timers = timers;
         this.listener = listener;
         this.mailbox = new Mailbox("the list", pool);
-        book.addSource(DISCOVERY, rules.filesFirst() ? 2 : 1, 0);
-        book.addSource(FILE, rules.filesFirst() ? 1 : 2, 0);
+        book.addSource(DISCOVERY, rules.fileOverridesDiscovery() ? 2 : 1, 0);
+        book.addSource(FILE, rules.fileOverridesDiscovery() ? 1 : 2, 0);
         this.file = new WatchedFile(
                 rules.file(),
-                rules.mostLost(),
-                rules.keys() == null ? null : new FileMac(rules.keys()),
+                rules.maxLostShare(),
+                rules.keyDirectory() == null ? null : new FileSigner(rules.keyDirectory()),
                 pool,
                 timers,
                 next -> {
--- a/src/main/java/barrowshore/operator/Operator.java
+++ b/src/main/java/barrowshore/operator/OperatorSettings.java
@@ -18,9 +18,9 @@
  * whole or not at all; each subsystem has one element in it, and what has none is off. It must never hold what the
  * platform decides.
  */
-public record Operator(Halls halls, Servers servers) {
+public record OperatorSettings(HallSettings halls, ServersFileSettings servers) {
     /** The settings of halls alone. */
-    public Operator(Halls halls) {
+    public OperatorSettings(HallSettings halls) {
         this(halls, null);
     }
 
@@ -29,16 +29,17 @@
      * take away unforced; filesFirst: whether the file wins where discovery names a server too; keys:
      * the directory of the keys that it must be signed by, null: none.
      */
-    public record Servers(Path file, double mostLost, boolean filesFirst, Path keys) {}
+    public record ServersFileSettings(
+            Path file, double maxLostShare, boolean fileOverridesDiscovery, Path keyDirectory) {}
 
     /** What holds where there is no file. */
-    public static final Operator NONE = new Operator(null, null);
+    public static final OperatorSettings NONE = new OperatorSettings(null, null);
 
     /**
      * The element {@code halls}; times in microseconds. preference: for the scheduler's own hall, the tiers of halls, the
      * first choice first.
      */
-    public record Halls(
+    public record HallSettings(
             Map<String, List<List<String>>> preference,
             boolean strict,
             double spill,
@@ -52,8 +53,8 @@
             double retryShare,
             double retryBurst) {
         /** What an empty element says. */
-        public static Halls usual() {
-            return Operator.parse("usual", "<operator xmlns=\"urn:barrowshore:operator:1\"><halls/></operator>")
+        public static HallSettings defaults() {
+            return OperatorSettings.parse("usual", "<operator xmlns=\"urn:barrowshore:operator:1\"><halls/></operator>")
                     .halls();
         }
 
@@ -61,7 +62,7 @@
          * The rules for a scheduler of that zone (-1: none), among halls of these names. A hall that its preference leaves
          * out is of one tier more; a preference for a hall that there is not is an error.
          */
-        public HallRules rules(List<String> zones, int zone) {
+        public HallRules rulesFor(List<String> zones, int zone) {
             for (Map.Entry<String, List<List<String>>> of : preference.entrySet()) {
                 List<String> named = new ArrayList<>(List.of(of.getKey()));
                 of.getValue().forEach(named::addAll);
@@ -103,52 +104,54 @@
     }
 
     /** Reads a file; a {@link ConfigException} names line, column and element. */
-    public static Operator read(Path file) {
-        return of(file.toString(), XmlFile.read(file, Operator.class, "operator.xsd"));
+    public static OperatorSettings read(Path file) {
+        return of(file.toString(), XmlFile.read(file, OperatorSettings.class, "operator.xsd"));
     }
 
     /** Reads a text as the file of that name. */
-    public static Operator parse(String file, String text) {
-        return of(file, XmlFile.read(file, text.getBytes(StandardCharsets.UTF_8), Operator.class, "operator.xsd"));
+    public static OperatorSettings parse(String file, String text) {
+        return of(
+                file,
+                XmlFile.read(file, text.getBytes(StandardCharsets.UTF_8), OperatorSettings.class, "operator.xsd"));
     }
 
-    private static Operator of(String file, Element root) {
-        Element halls = root.one("halls");
-        Element servers = root.one("servers");
-        return new Operator(
+    private static OperatorSettings of(String file, Element root) {
+        Element halls = root.firstChildNamed("halls");
+        Element servers = root.firstChildNamed("servers");
+        return new OperatorSettings(
                 halls == null ? null : halls(file, halls),
                 servers == null
                         ? null
-                        : new Servers(
+                        : new ServersFileSettings(
                                 Path.of(servers.get("file")),
                                 servers.number("most-lost"),
                                 "file".equals(servers.get("first")),
                                 servers.get("keys") == null ? null : Path.of(servers.get("keys"))));
     }
 
-    private static Halls halls(String file, Element e) {
+    private static HallSettings halls(String file, Element e) {
         Map<String, List<List<String>>> preference = new TreeMap<>();
-        for (Element p : e.all("preference")) {
+        for (Element p : e.childrenNamed("preference")) {
             List<List<String>> tiers = new ArrayList<>();
             Set<String> seen = new HashSet<>();
-            for (Element t : p.all("tier")) {
+            for (Element t : p.childrenNamed("tier")) {
                 List<String> tier = new ArrayList<>();
-                for (Element h : t.all("hall")) {
+                for (Element h : t.childrenNamed("hall")) {
                     if (!seen.add(h.get("name"))) {
-                        throw h.wrong(file, h.get("name") + " is in two tiers of " + p.get("of"));
+                        throw h.error(file, h.get("name") + " is in two tiers of " + p.get("of"));
                     }
                     tier.add(h.get("name"));
                 }
                 tiers.add(tier);
             }
             if (preference.put(p.get("of"), tiers) != null) {
-                throw p.wrong(file, p.get("of") + " has two preferences");
+                throw p.error(file, p.get("of") + " has two preferences");
             }
         }
         if (e.micros("hold-most") < e.micros("hold-off")) {
-            throw e.wrong(file, "hold-most must not be under hold-off");
+            throw e.error(file, "hold-most must not be under hold-off");
         }
-        return new Halls(
+        return new HallSettings(
                 preference,
                 "strict".equals(e.get("tiers")),
                 e.number("spill"),
--- a/src/main/java/barrowshore/ops/OpsDoor.java
+++ b/src/main/java/barrowshore/ops/OpsServer.java
@@ -30,9 +30,9 @@
  * selector, two threads and the set of open calls with its bound, so that it answers however busy the rest is. It must
  * never wait for an actor of the scheduler, and never let a caller that finishes nothing keep the next one out.
  */
-public final class OpsDoor {
+public final class OpsServer {
     /** Descriptors that it may hold, its own included. */
-    public static final int DESCRIPTORS = 48;
+    public static final int MAX_DESCRIPTORS = 48;
 
     private static final int THREADS = 2;
     /** Open calls; above it the oldest that is not being answered goes. */
@@ -47,13 +47,13 @@
     private static final long LINGER = 500;
 
     /** What the calls ask of the scheduler; run on the door's threads, so it must only read or set published values. */
-    public interface Desk {
-        boolean ready();
+    public interface SchedulerControl {
+        boolean isReady();
 
-        SchedulerMetrics figures();
+        SchedulerMetrics metrics();
 
         /** Sends clients away; false where that cannot be. */
-        boolean sendAway();
+        boolean drain();
 
         boolean activate();
     }
@@ -61,13 +61,13 @@
     private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
     private final Mailbox mailbox = new Mailbox("the operators' door", pool);
     private final Scheduler timers;
-    private final Desk desk;
+    private final SchedulerControl desk;
     private final ConnectionManager dialer;
     private final ServerSocketChannel server;
     private final Set<Call> calls = new LinkedHashSet<>();
 
     /** Opens the door at the listening socket, which is its own from now on. */
-    public OpsDoor(ServerSocketChannel server, Scheduler timers, Desk desk) throws Exception {
+    public OpsServer(ServerSocketChannel server, Scheduler timers, SchedulerControl desk) throws Exception {
         this.server = server;
         this.timers = timers;
         this.desk = desk;
@@ -94,7 +94,7 @@
         }
     }
 
-    static Answer answer(String method, String target, Desk desk) {
+    static Answer answer(String method, String target, SchedulerControl desk) {
         String path = target.split("\\?", 2)[0];
         String wanted =
                 switch (path) {
@@ -109,9 +109,9 @@
             return new Answer(405, "this call is a " + wanted + "\n", wanted);
         }
         return switch (path) {
-            case "/v1/readyz" -> desk.ready() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
-            case "/v1/metrics" -> new Answer(200, desk.figures().metricLines());
-            case "/v1/scheduler/drain" -> verb(desk.sendAway(), "clients are sent away\n");
+            case "/v1/readyz" -> desk.isReady() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
+            case "/v1/metrics" -> new Answer(200, desk.metrics().metricLines());
+            case "/v1/scheduler/drain" -> verb(desk.drain(), "clients are sent away\n");
             default -> verb(desk.activate(), "back to work\n");
         };
     }
@@ -214,7 +214,7 @@
 
         @Override
         protected void onEnd(Throwable cause) {
-            OpsDoor.this.mailbox.post(() -> calls.remove(this));
+            OpsServer.this.mailbox.post(() -> calls.remove(this));
         }
     }
 }
--- a/src/main/java/barrowshore/peer/PeerMessenger.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -34,7 +34,7 @@
     /** No datagram may be longer. */
     private static final int MOST = 256;
 
-    private final Config.Peering addresses;
+    private final Config.PeerConfig addresses;
     private final DatagramChannel channel;
     private final Mailbox mailbox;
     private final BiConsumer<Integer, byte[]> listener;
@@ -49,7 +49,11 @@
 
     /** Hears and speaks at the address; shared: another process of ours may be there too. */
     public PeerMessenger(
-            Config.Peering addresses, boolean shared, Executor pool, Clock clock, BiConsumer<Integer, byte[]> listener)
+            Config.PeerConfig addresses,
+            boolean shared,
+            Executor pool,
+            Clock clock,
+            BiConsumer<Integer, byte[]> listener)
             throws IOException {
         this.addresses = addresses;
         this.clock = clock;
@@ -81,7 +85,7 @@
                 return;
             }
             try {
-                channel.send(ByteBuffer.wrap(message), addresses.all());
+                channel.send(ByteBuffer.wrap(message), addresses.broadcast());
             } catch (IOException e) {
                 LOG.log(Level.DEBUG, "a message to the peers is lost", e);
             }
@@ -101,7 +105,7 @@
         mailbox.post(() -> {
             long now = clock.micros();
             othersServe.accept(heardAt.entrySet().stream()
-                    .anyMatch(peer -> peer.getKey() != addresses.me()
+                    .anyMatch(peer -> peer.getKey() != addresses.ownNumber()
                             && now - peer.getValue() <= HEARD * 1000
                             && now - endingAt.getOrDefault(peer.getKey(), Long.MIN_VALUE / 2) > BACK * 1000));
         });
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -432,7 +432,7 @@
             if (field.is(NOT_PROCESSED_HEADER)) {
                 notProcessed = "1".equals(field.getValue());
             } else if (field.is(LOAD_HEADER)) {
-                load = load(Json.orNull(field.getValue()));
+                load = load(Json.parseOrNull(field.getValue()));
             }
         }
 
@@ -485,7 +485,7 @@
             if (text.isBlank() || work.over) {
                 return;
             }
-            if (!(Json.orNull(text) instanceof Map<?, ?> map)
+            if (!(Json.parseOrNull(text) instanceof Map<?, ?> map)
                     || !work.attempt.request().id().equals(map.get("id"))) {
                 // Not an answer to this request: nothing on this connection can be trusted any more. It is closed
                 // before its end
@@ -524,7 +524,7 @@
                 // A stream without a last line is a reset: the job may have run.
                 work.end(Status.RESET, load, null);
             } else if (work.probe != null) {
-                Load told = load(Json.orNull(body.toString()));
+                Load told = load(Json.parseOrNull(body.toString()));
                 work.end(status == 200 ? Status.OK : Status.ERROR, told != null ? told : load, null);
             } else {
                 work.end(neverRan() ? Status.FULL : Status.ERROR, load, null);
--- a/src/main/java/barrowshore/standin/Demo.java
+++ b/src/main/java/barrowshore/standin/Demo.java
@@ -1,7 +1,7 @@
 package barrowshore.standin;
 
 import barrowshore.halls.HallState;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -42,7 +42,7 @@
     }
 
     private void run(PrintStream out, boolean hold) throws Exception {
-        Operator operator = new Operator(Operator.Halls.usual());
+        OperatorSettings operator = new OperatorSettings(OperatorSettings.HallSettings.defaults());
         ScheduledExecutorService clock = Executors.newScheduledThreadPool(1, Demo::daemon);
         try (StandInSite site = new StandInSite(NODES, operator)) {
             out.println("two halls of " + NODES + " stand-in nodes, two schedulers, " + 2 * RATE + " jobs a second");
@@ -100,11 +100,13 @@
                     total[1],
                     total[2],
                     site.counts().stream()
-                            .mapToLong(c -> c.runs().entrySet().stream()
+                            .mapToLong(c -> c.startsByJobId().entrySet().stream()
                                     .filter(e -> e.getKey().startsWith("objednavka") && e.getValue() > 1)
                                     .count())
                             .sum(),
-                    site.counts().stream().filter(StandInNode.Count::fallen).count());
+                    site.counts().stream()
+                            .filter(StandInWorker.Counters::failedFromOverload)
+                            .count());
         } finally {
             clock.shutdownNow();
         }
--- a/src/main/java/barrowshore/standin/StandInConfig.java
+++ b/src/main/java/barrowshore/standin/StandInConfig.java
@@ -14,23 +14,23 @@
 
     public static final List<String> HALLS = List.of("hala-a", "hala-b");
     /** Microseconds until a node is warm, and the window of the rule on cold ones. */
-    public static final long COLD = 6_000_000, FALL = 2_000_000;
+    public static final long WARM_UP_MICROS = 6_000_000, OVERLOAD_WINDOW_MICROS = 2_000_000;
 
-    public static final double MULTIPLE = 3, START_CAPACITY = 0.3;
+    public static final double OVERLOAD_MULTIPLE = 3, START_CAPACITY = 0.3;
     /** Work of a usual job, and the time between notes of progress, microseconds. */
-    public static final double USUAL_JOB = 150_000;
+    public static final double MEAN_JOB_MICROS = 150_000;
 
-    public static final long PROGRESS = 500_000;
+    public static final long PROGRESS_INTERVAL_MICROS = 500_000;
 
     private StandInConfig() {}
 
     /** An address as configurations have it. */
-    public static String text(InetSocketAddress address) {
+    public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** A configuration: who it is among how many peers, where it listens, and where all that it talks to is. */
-    public static String of(
+    public static String toJson(
             String name,
             InetSocketAddress listen,
             InetSocketAddress discovery,
@@ -39,20 +39,24 @@
             InetSocketAddress peerListen,
             List<String> peers,
             InetSocketAddress all) {
-        return ("{'name':'" + name + "','listen':'" + text(listen) + "','discovery':'" + text(discovery) + "','seed':'"
-                        + Integer.toHexString(me + 1) + "','limits':{'sockets':1024},'peer_listen':'" + text(peerListen)
+        return ("{'name':'" + name + "','listen':'" + formatAddress(listen) + "','discovery':'"
+                        + formatAddress(discovery) + "','seed':'"
+                        + Integer.toHexString(me + 1) + "','limits':{'sockets':1024},'peer_listen':'"
+                        + formatAddress(peerListen)
                         + "','peers':["
                         + peers.stream().map(peer -> "'" + peer + "'").collect(Collectors.joining(","))
-                        + "],'peers_all':'" + text(all)
+                        + "],'peers_all':'" + formatAddress(all)
                         + "','settings':{'groupSize':" + peers.size() + ",'me':" + me + ",'zone':" + zone
                         + ",'zones':['" + String.join("','", HALLS) + "'],'kinds':['usual'],'tick':5000,'lanes':["
                         + "{'name':'menu-cteni','aim':250000,'deadline':3000000,'worth':2.0,'idempotency':'idempotent'},"
                         + "{'name':'objednavka','aim':400000,'deadline':4000000,'worth':10.0,'idempotency':'at_most_once'}],"
                         + "'policyLimits':{'sendCap':5,'secondCopies':true,'cancel':true,'probing':true,'mayTell':true,"
                         + "'dialTimeout':250000,'keepalive':60000000,'maxRetryAfter':2000000},"
-                        + "'domain':{'tellsStart':true,'progress':" + PROGRESS + ",'classStretch':[2,2]},"
+                        + "'domain':{'tellsStart':true,'progress':" + PROGRESS_INTERVAL_MICROS
+                        + ",'classStretch':[2,2]},"
                         + "'telemetry':{'how':'pull','columns':['inflight','x0']},'charges':{'crossZone':0.1},"
-                        + "'rules':{'cold':" + COLD + ",'fall':" + FALL + ",'fallMultiple':" + MULTIPLE
+                        + "'rules':{'cold':" + WARM_UP_MICROS + ",'fall':" + OVERLOAD_WINDOW_MICROS + ",'fallMultiple':"
+                        + OVERLOAD_MULTIPLE
                         + ",'startCapacity':"
                         + START_CAPACITY + ",'askEvery':10000000}}}")
                 .replace('\'', '"');
--- a/src/main/java/barrowshore/standin/StandInDiscovery.java
+++ b/src/main/java/barrowshore/standin/StandInDiscovery.java
@@ -29,7 +29,7 @@
 
     private final Mailbox mailbox;
     private final Scheduler timers;
-    private final StandInFront front;
+    private final StandInListener front;
     private final int port;
     private final Map<String, Map<String, Object>> targets = new LinkedHashMap<>();
     private final Set<Link> watches = new HashSet<>();
@@ -38,7 +38,7 @@
     private final AtomicLong calls = new AtomicLong(), bytes = new AtomicLong();
 
     /** Starts with an empty list, on a free port. */
-    public StandInDiscovery(StandInFront front, ExecutorService pool, Scheduler timers) throws IOException {
+    public StandInDiscovery(StandInListener front, ExecutorService pool, Scheduler timers) throws IOException {
         this.timers = timers;
         mailbox = new Mailbox("stand-in discovery", pool);
         this.front = front;
@@ -65,7 +65,7 @@
     }
 
     /** Tells of a node; state: Ready, Terminating or Gone. bootMillis 0: long ago. */
-    public void tell(
+    public void publish(
             String uid,
             InetSocketAddress endpoint,
             String hall,
@@ -107,7 +107,7 @@
     }
 
     /** It answers nothing and tells nothing, or tells all of its list to whoever watches. */
-    public void silent(boolean on) {
+    public void setSilent(boolean on) {
         mailbox.post(() -> {
             silent = on;
             if (!on) {
--- a/src/main/java/barrowshore/standin/StandInFront.java
+++ b/src/main/java/barrowshore/standin/StandInListener.java
@@ -20,7 +20,7 @@
  * One selector for all stand-ins of a process, each behind a loopback port of its own. It owns the selector and the
  * listening sockets, and must never listen elsewhere than on loopback.
  */
-public final class StandInFront {
+public final class StandInListener {
     private static final int BACKLOG = 256;
 
     /** A port that is listened on. */
@@ -30,7 +30,7 @@
     private final ConnectionManager dialer;
 
     /** most: connections to all of its doors together. */
-    public StandInFront(Executor pool, Scheduler timers, int most) throws Exception {
+    public StandInListener(Executor pool, Scheduler timers, int most) throws Exception {
         dialer = new ConnectionManager(pool, timers, 1, most, 1000, this::accepted);
         dialer.start();
     }
--- a/src/main/java/barrowshore/standin/StandInSite.java
+++ b/src/main/java/barrowshore/standin/StandInSite.java
@@ -1,10 +1,10 @@
 package barrowshore.standin;
 
 import barrowshore.config.Config;
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.node.JobScheduler;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -37,25 +37,29 @@
         return thread;
     });
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final StandInFront front;
+    private final StandInListener front;
     private final StandInDiscovery discovery;
-    private final List<List<StandInNode>> halls = new ArrayList<>();
+    private final List<List<StandInWorker>> halls = new ArrayList<>();
     private final Map<String, Long> boots = new HashMap<>();
     private final List<JobScheduler> schedulers = new ArrayList<>();
 
     /** Starts halls of so many nodes and a scheduler in each. */
-    public StandInSite(int nodes, Operator operator) throws Exception {
+    public StandInSite(int nodes, OperatorSettings operator) throws Exception {
         timers.start();
-        front = new StandInFront(pool, timers, MOST_CONNECTIONS);
+        front = new StandInListener(pool, timers, MOST_CONNECTIONS);
         discovery = new StandInDiscovery(front, pool, timers);
         for (int h = 0; h < HALLS.size(); h++) {
             halls.add(new ArrayList<>());
             for (int n = 0; n < nodes; n++) {
-                StandInNode node = new StandInNode(
+                StandInWorker node = new StandInWorker(
                         "s-" + "ab".charAt(h) + n,
-                        new NodeModel.Spec(CORES, 1, 40, n % 2 == 0, StandInConfig.START_CAPACITY, StandInConfig.COLD),
-                        new NodeModel.Falling(StandInConfig.MULTIPLE, StandInConfig.FALL, StandInConfig.USUAL_JOB),
-                        StandInConfig.PROGRESS,
+                        new WorkerModel.Spec(
+                                CORES, 1, 40, n % 2 == 0, StandInConfig.START_CAPACITY, StandInConfig.WARM_UP_MICROS),
+                        new WorkerModel.OverloadLimit(
+                                StandInConfig.OVERLOAD_MULTIPLE,
+                                StandInConfig.OVERLOAD_WINDOW_MICROS,
+                                StandInConfig.MEAN_JOB_MICROS),
+                        StandInConfig.PROGRESS_INTERVAL_MICROS,
                         front,
                         pool,
                         timers);
@@ -65,7 +69,7 @@
         }
         int[] ports = {freePort(), freePort()};
         for (int s = 0; s < HALLS.size(); s++) {
-            schedulers.add(JobScheduler.start(new Setup(Config.parse(config(s, ports)), operator)));
+            schedulers.add(JobScheduler.start(new SchedulerConfig(Config.parse(config(s, ports)), operator)));
         }
     }
 
@@ -77,7 +81,7 @@
 
     private String config(int me, int[] ports) {
         List<String> peers = List.of("127.0.0.1:" + ports[0], "127.0.0.1:" + ports[1]);
-        return StandInConfig.of(
+        return StandInConfig.toJson(
                 "scheduler-" + me,
                 loopback(0),
                 discovery.address(),
@@ -92,8 +96,8 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private void tell(int hall, StandInNode node, String state) {
-        discovery.tell(
+    private void tell(int hall, StandInWorker node, String state) {
+        discovery.publish(
                 node.uid(), node.address(), HALLS.get(hall), "usual", CORES, state, boots.getOrDefault(node.uid(), 0L));
     }
 
@@ -102,7 +106,7 @@
         return HALLS;
     }
 
-    public List<StandInNode> nodes(int hall) {
+    public List<StandInWorker> nodes(int hall) {
         return halls.get(hall);
     }
 
@@ -133,7 +137,8 @@
 
     /** Every node of a hall dies at once. Discovery knows nothing of it yet. */
     public void lose(int hall) {
-        CompletableFuture.allOf(halls.get(hall).stream().map(StandInNode::crash).toArray(CompletableFuture[]::new))
+        CompletableFuture.allOf(
+                        halls.get(hall).stream().map(StandInWorker::crash).toArray(CompletableFuture[]::new))
                 .join();
     }
 
@@ -144,17 +149,17 @@
 
     /** They start again, cold, and the list says so. */
     public void regain(int hall) {
-        for (StandInNode node : halls.get(hall)) {
+        for (StandInWorker node : halls.get(hall)) {
             boots.put(node.uid(), node.restart().join());
             tell(hall, node, "Ready");
         }
     }
 
     /** What all nodes have counted. */
-    public List<StandInNode.Count> counts() {
+    public List<StandInWorker.Counters> counts() {
         return halls.stream()
                 .flatMap(List::stream)
-                .map(node -> node.count().join())
+                .map(node -> node.counters().join())
                 .toList();
     }
 
@@ -164,7 +169,7 @@
             scheduler.stop();
         }
         discovery.stop();
-        halls.forEach(hall -> hall.forEach(StandInNode::stop));
+        halls.forEach(hall -> hall.forEach(StandInWorker::stop));
         front.stop();
         LifeCycle.stop(timers);
         pool.shutdownNow();
--- a/src/main/java/barrowshore/standin/StandInNode.java
+++ b/src/main/java/barrowshore/standin/StandInWorker.java
@@ -1,7 +1,7 @@
 package barrowshore.standin;
 
-import barrowshore.model.NodeModel;
 import barrowshore.model.Timeline;
+import barrowshore.model.WorkerModel;
 import barrowshore.module.DispatchApi.Load;
 import barrowshore.net.Clock;
 import barrowshore.net.Mailbox;
@@ -20,26 +20,31 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A stand-in for one order node: {@link NodeModel} behind the platform's protocol, on a loopback socket, written from
+ * A stand-in for one order node: {@link WorkerModel} behind the platform's protocol, on a loopback socket, written from
  * the protocol's pages. An actor; it owns its listening socket, its connections and the model, and counts what runs
  * twice and what came while it was cold. It must never listen elsewhere than on loopback.
  */
-public final class StandInNode {
+public final class StandInWorker {
     /** Work of a job that says nothing of it, microseconds at speed 1. */
     private static final long USUAL_WORK = 100_000;
     /** Until a port that was just closed is tried again. */
     private static final long AGAIN_MILLIS = 20;
 
-    /** What a node counts; runs: how often each id started; late: jobs that came after {@link #nothingNewAfter}. */
-    public record Count(
-            Map<String, Integer> runs, long served, double coldUse, boolean fallen, int connections, int late) {}
+    /** What a node counts; runs: how often each id started; late: jobs that came after {@link #countJobsAsLateAfter}. */
+    public record Counters(
+            Map<String, Integer> startsByJobId,
+            long served,
+            double coldBudgetUsed,
+            boolean failedFromOverload,
+            int connections,
+            int lateJobs) {}
 
     private final String uid;
-    private final StandInFront front;
+    private final StandInListener front;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final Clock clock = Clock.system();
-    private final NodeModel model;
+    private final WorkerModel model;
     private final Set<Link> links = new HashSet<>();
     private final Map<String, Integer> runs = new HashMap<>();
     private final int port;
@@ -47,12 +52,12 @@
     private int late;
 
     /** Starts a node that has been up for long, on a free port. */
-    public StandInNode(
+    public StandInWorker(
             String uid,
-            NodeModel.Spec spec,
-            NodeModel.Falling falling,
+            WorkerModel.Spec spec,
+            WorkerModel.OverloadLimit falling,
             long progressEvery,
-            StandInFront front,
+            StandInListener front,
             ExecutorService pool,
             Scheduler timers)
             throws IOException {
@@ -60,7 +65,7 @@
         this.front = front;
         this.timers = timers;
         this.mailbox = new Mailbox("stand-in " + uid, pool);
-        this.model = new NodeModel(
+        this.model = new WorkerModel(
                 new Timeline() {
                     @Override
                     public long now() {
@@ -68,7 +73,7 @@
                     }
 
                     @Override
-                    public void at(long time, Runnable run) {
+                    public void runAt(long time, Runnable run) {
                         timers.schedule(() -> mailbox.post(run), Math.max(1, time - now()), TimeUnit.MICROSECONDS);
                     }
                 },
@@ -103,7 +108,7 @@
 
     private void listen(CompletableFuture<Long> started) {
         try {
-            if (!model.fallen()) {
+            if (!model.hasFailedFromOverload()) {
                 front.open(port, Link::new);
                 model.restart();
             }
@@ -114,26 +119,26 @@
     }
 
     /** It takes work and answers nothing, or goes on. */
-    public CompletableFuture<Void> hang(boolean on) {
-        return told(() -> model.hang(on));
+    public CompletableFuture<Void> setHung(boolean on) {
+        return told(() -> model.setHung(on));
     }
 
     /** Everything takes so many times as long. */
-    public CompletableFuture<Void> slow(double factor) {
-        return told(() -> model.slow(factor));
+    public CompletableFuture<Void> setSlowdown(double factor) {
+        return told(() -> model.setSlowdown(factor));
     }
 
-    public CompletableFuture<Void> drain(boolean on) {
-        return told(() -> model.drain(on));
+    public CompletableFuture<Void> setDraining(boolean on) {
+        return told(() -> model.setDraining(on));
     }
 
     /** Jobs that come later than so many milliseconds from now are counted: its schedulers should know better by then. */
-    public void nothingNewAfter(long millis) {
+    public void countJobsAsLateAfter(long millis) {
         mailbox.post(() -> nothingNewAfter = clock.micros() + millis * 1000);
     }
 
     /** Hands in a job by another way than its socket, as the last byte of a request would. */
-    public void offer(NodeModel.Job job) {
+    public void offer(WorkerModel.Job job) {
         mailbox.post(() -> model.offer(job));
     }
 
@@ -141,18 +146,23 @@
     public CompletableFuture<Load> load() {
         CompletableFuture<Load> told = new CompletableFuture<>();
         mailbox.post(() -> {
-            if (model.up() && !model.hung()) {
-                told.complete(new Load(model.held(), Double.NaN, (int) model.freeSlots()));
+            if (model.isUp() && !model.isHung()) {
+                told.complete(new Load(model.jobCount(), Double.NaN, (int) model.freeSlots()));
             }
         });
         return told;
     }
 
     /** What it has counted. */
-    public CompletableFuture<Count> count() {
-        CompletableFuture<Count> count = new CompletableFuture<>();
-        mailbox.post(() -> count.complete(
-                new Count(Map.copyOf(runs), model.served(), model.coldUse(), model.fallen(), links.size(), late)));
+    public CompletableFuture<Counters> counters() {
+        CompletableFuture<Counters> count = new CompletableFuture<>();
+        mailbox.post(() -> count.complete(new Counters(
+                Map.copyOf(runs),
+                model.served(),
+                model.coldBudgetUsed(),
+                model.hasFailedFromOverload(),
+                links.size(),
+                late)));
         return count;
     }
 
@@ -179,12 +189,12 @@
         private Job job;
 
         Link(EndPoint endPoint) {
-            super(endPoint, StandInNode.this.mailbox, timers);
+            super(endPoint, StandInWorker.this.mailbox, timers);
         }
 
         @Override
         protected void onConnected() {
-            if (!model.up()) {
+            if (!model.isUp()) {
                 closeNow();
                 return;
             }
@@ -195,8 +205,8 @@
         @Override
         void asked(String method, String target, Map<String, String> headers, String body) {
             if (target.equals("/-/load") || target.equals("/-/healthy")) {
-                if (!model.hung()) {
-                    answer(200, "", "{\"inflight\":" + model.held() + ",\"x0\":" + (int) model.freeSlots() + "}");
+                if (!model.isHung()) {
+                    answer(200, "", "{\"inflight\":" + model.jobCount() + ",\"x0\":" + (int) model.freeSlots() + "}");
                 }
                 return;
             }
@@ -231,7 +241,7 @@
         }
     }
 
-    private final class Job implements NodeModel.Job {
+    private final class Job implements WorkerModel.Job {
         private final Link link;
         private final String id;
         private final double slots;
--- a/src/main/java/barrowshore/wire/Json.java
+++ b/src/main/java/barrowshore/wire/Json.java
@@ -20,7 +20,7 @@
     }
 
     /** Parses JSON; null if it is none. */
-    public static Object orNull(String text) {
+    public static Object parseOrNull(String text) {
         try {
             return parse(text);
         } catch (IllegalArgumentException e) {
@@ -29,7 +29,7 @@
     }
 
     /** Reads address:port; an IllegalArgumentException names the field. */
-    public static InetSocketAddress address(String text, String field) {
+    public static InetSocketAddress parseAddress(String text, String field) {
         int colon = text.lastIndexOf(':');
         try {
             return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
--- a/src/main/java/barrowshore/wire/SettingsReader.java
+++ b/src/main/java/barrowshore/wire/SettingsReader.java
@@ -14,7 +14,7 @@
 
 /**
  * Reads path=value pairs into settings; unknown keys are skipped, absent ones keep their defaults. The simulator sends
- * the pairs as text, a real scheduler finds them nested in its configuration: {@link #of} flattens those into the same
+ * the pairs as text, a real scheduler finds them nested in its configuration: {@link #toJson} flattens those into the same
  * pairs, so that both readings end in one place.
  */
 public final class SettingsReader {
@@ -133,19 +133,19 @@
                 flatten(path + "." + k, list.get(k));
             }
         } else if (value instanceof List<?> list) {
-            pairs.put(path, list.stream().map(SettingsReader::plain).collect(Collectors.joining(",")));
+            pairs.put(path, list.stream().map(SettingsReader::normalizeName).collect(Collectors.joining(",")));
         } else {
-            pairs.put(path, plain(value));
+            pairs.put(path, normalizeName(value));
         }
     }
 
     /** A name as the pairs have it, without spaces and commas; names from elsewhere are compared in this form. */
-    public static String plain(Object value) {
+    public static String normalizeName(Object value) {
         return value == null ? "" : value.toString().replaceAll("[ ,]", "_");
     }
 
     /** The settings that no page names, in order, numbers in their paths as N: news of a new site, not heeded here. */
-    public List<String> unknown() {
+    public List<String> unknownKeys() {
         return pairs.keySet().stream()
                 .map(key -> key.replaceAll("\\.[0-9]+(?=\\.|$)", ".N"))
                 .distinct()
@@ -155,12 +155,12 @@
     }
 
     /** The items of a list of plain values. */
-    public List<String> items(String key) {
+    public List<String> listItems(String key) {
         return List.of(list(key));
     }
 
     /** The field {@code name} of each item of a list of objects. */
-    public List<String> names(String key) {
+    public List<String> itemNames(String key) {
         List<String> names = new ArrayList<>();
         for (int k = 0; k < (int) number(key + ".count", 0); k++) {
             names.add(pairs.getOrDefault(key + "." + k + ".name", ""));
@@ -174,11 +174,11 @@
     }
 
     static Settings read(long seed, String conf) {
-        return of(conf).settings(seed);
+        return of(conf).toSettings(seed);
     }
 
     /** The module's settings; a value that cannot be read gets an IllegalArgumentException that names it. */
-    public Settings settings(long seed) {
+    public Settings toSettings(long seed) {
         Settings s = new Settings();
         s.seed = seed;
         s.dispatchers = (int) number("groupSize", s.dispatchers);
--- a/src/main/java/barrowshore/wire/WireHost.java
+++ b/src/main/java/barrowshore/wire/WireHost.java
@@ -171,8 +171,8 @@
             long seed = line.integer("prng");
             String conf = line.rest();
             SettingsReader reader = SettingsReader.of(conf);
-            Settings settings = reader.settings(seed);
-            amend.accept(reader.items("zones"), settings);
+            Settings settings = reader.toSettings(seed);
+            amend.accept(reader.listItems("zones"), settings);
             Instance instance = new Instance(number, settings);
             instances.put(number, instance);
             instance.dispatcher.start(now);
--- a/src/test/java/barrowshore/PackageRulesTest.java
+++ b/src/test/java/barrowshore/PackageRulesTest.java
@@ -27,7 +27,7 @@
                 "barrowshore.status",
                 "barrowshore.budget",
                 "barrowshore.exchange",
-                "barrowshore.rivals"
+                "barrowshore.baseline"
             })
     void whatDecidesTouchesNoSocketsFilesClocksOrThreads(String pure) {
         noClasses()
--- a/src/test/java/barrowshore/capacity/CapacityCountsTest.java
+++ b/src/test/java/barrowshore/capacity/CapacityCountsTest.java
@@ -46,7 +46,7 @@
 
     /** Each size is played once for all tests. */
     private static FleetCost play(FleetSize size) {
-        return PLAYED.computeIfAbsent(size, s -> new FleetPlay(s, PlayOptions.countsOnly(SECONDS, SEED)).play());
+        return PLAYED.computeIfAbsent(size, s -> new FleetPlay(s, SimulationOptions.countsOnly(SECONDS, SEED)).play());
     }
 
     private static FleetCost busy(int workers, int schedulers) {
--- a/src/test/java/barrowshore/capacity/FleetPlayTest.java
+++ b/src/test/java/barrowshore/capacity/FleetPlayTest.java
@@ -9,9 +9,9 @@
 class FleetPlayTest {
     private static final FleetSize SMALL = new FleetSize(24, 3, 10, 4, 0, 0);
     private static final int SECONDS = 4;
-    private static final PlayOptions OPTIONS = PlayOptions.countsOnly(SECONDS, 7);
+    private static final SimulationOptions OPTIONS = SimulationOptions.countsOnly(SECONDS, 7);
 
-    private static FleetCost play(FleetSize size, PlayOptions options) {
+    private static FleetCost play(FleetSize size, SimulationOptions options) {
         return new FleetPlay(size, options).play();
     }
 
@@ -19,7 +19,7 @@
     void theSameSeedGivesTheSameCounts() {
         FleetCost first = play(SMALL, OPTIONS);
         FleetCost again = play(SMALL, OPTIONS);
-        FleetCost other = play(SMALL, PlayOptions.countsOnly(SECONDS, 8));
+        FleetCost other = play(SMALL, SimulationOptions.countsOnly(SECONDS, 8));
         for (Metric metric : Metric.values()) {
             // Boxed, so that what was not measured equals itself.
             assertThat((Double) again.get(metric)).as(metric.label).isEqualTo((Double) first.get(metric));
@@ -29,7 +29,7 @@
 
     @Test
     void asManyTasksStartAndRunAsTheSizeSays() {
-        FleetCost cost = play(SMALL.withWorkers(60).withStartsPerSecond(40), PlayOptions.countsOnly(2, 1));
+        FleetCost cost = play(SMALL.withWorkers(60).withStartsPerSecond(40), SimulationOptions.countsOnly(2, 1));
         double running = SMALL.withStartsPerSecond(40).runningTasks();
         assertThat(cost.get(Metric.STARTED)).isCloseTo(40, within(8.0));
         assertThat(cost.get(Metric.RUNNING)).isBetween(0.9 * running, 1.25 * running);
@@ -38,8 +38,8 @@
 
     @Test
     void eachTellingIsHeardByAllOthersUnlessItIsLostOrDoubled() {
-        PlayOptions faulty = new PlayOptions(SECONDS, 7, 1, false, 0.5, 0, false, true);
-        PlayOptions doubling = new PlayOptions(SECONDS, 7, 1, false, 0, 0.5, false, true);
+        SimulationOptions faulty = new SimulationOptions(SECONDS, 7, 1, false, 0.5, 0, false, true);
+        SimulationOptions doubling = new SimulationOptions(SECONDS, 7, 1, false, 0, 0.5, false, true);
         assertHeard(play(SMALL, OPTIONS), 1, 0.03);
         assertHeard(play(SMALL, faulty), 0.5, 0.1);
         assertHeard(play(SMALL, doubling), 1.5, 0.1);
@@ -86,7 +86,7 @@
     @Test
     void onlyATimedPlayHasTimes() {
         FleetCost counted = play(SMALL, OPTIONS);
-        FleetCost timed = play(SMALL, new PlayOptions(SECONDS, 7, 1, true, 0, 0, false, true));
+        FleetCost timed = play(SMALL, new SimulationOptions(SECONDS, 7, 1, true, 0, 0, false, true));
         assertThat(counted.get(Metric.CONTROL_TIME)).isNaN();
         assertThat(counted.get(Metric.HEAP_HELD)).isNaN();
         assertThat(timed.get(Metric.CONTROL_TIME)).isPositive();
--- a/src/test/java/barrowshore/capacity/FleetSizeTest.java
+++ b/src/test/java/barrowshore/capacity/FleetSizeTest.java
@@ -25,7 +25,7 @@
     void whatTheSweepsPlayFitsIntoAGigabyte() {
         for (Sweep sweep : Sweep.values()) {
             for (FleetSize fleet : sweep.fleets(TARGET)) {
-                assertThatNoException().isThrownBy(() -> fleet.check(HEAP));
+                assertThatNoException().isThrownBy(() -> fleet.validate(HEAP));
             }
         }
     }
@@ -54,7 +54,7 @@
     @Test
     void noChangesAtAllCanBePlayed() {
         FleetSize still = TARGET.withListChangesPerSecond(0).withSettingsChangesPerSecond(0);
-        assertThatNoException().isThrownBy(() -> still.check(HEAP));
+        assertThatNoException().isThrownBy(() -> still.validate(HEAP));
     }
 
     @Test
@@ -65,7 +65,7 @@
     }
 
     private static void assertRefused(FleetSize size, String named) {
-        assertThatThrownBy(() -> size.check(HEAP))
+        assertThatThrownBy(() -> size.validate(HEAP))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(named)
                 .hasMessageNotContaining("\n");
--- a/src/test/java/barrowshore/capacity/hollow/HollowPlanTest.java
+++ b/src/test/java/barrowshore/capacity/simulated/SimulatedFleetPlanTest.java
@@ -1,10 +1,10 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatCode;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import barrowshore.capacity.hollow.HollowPlan.Machine;
+import barrowshore.capacity.simulated.SimulatedFleetPlan.Machine;
 import barrowshore.config.Config;
 import barrowshore.config.ConfigException;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Sizes that cannot be played are named on one line; what a process has used is read; configurations can be. */
-class HollowPlanTest {
+class SimulatedFleetPlanTest {
     private static final Machine MACHINE = new Machine(24_000, 17_000, 20_000);
 
     @ParameterizedTest
@@ -33,7 +33,7 @@
         "770, 10, 5, 260, 301, --seconds"
     })
     void aSizeOutOfBoundsIsNamed(int workers, int schedulers, int real, int starts, int seconds, String option) {
-        assertThatThrownBy(() -> new HollowPlan(workers, schedulers, real, starts, seconds).check(MACHINE))
+        assertThatThrownBy(() -> new SimulatedFleetPlan(workers, schedulers, real, starts, seconds).check(MACHINE))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(option)
                 .hasMessageContaining("nothing was started")
@@ -42,7 +42,7 @@
 
     @Test
     void theTargetFitsAndWhatTheMachineHasNotDoesNot() {
-        HollowPlan target = new HollowPlan(770, 10, 5, 260, 30);
+        SimulatedFleetPlan target = new SimulatedFleetPlan(770, 10, 5, 260, 30);
         assertThatCode(() -> target.check(MACHINE)).doesNotThrowAnyException();
         assertThatThrownBy(() -> target.check(new Machine(2_000, 17_000, 20_000)))
                 .hasMessageContaining("MiB of memory and may take 1000");
@@ -68,7 +68,7 @@
         assertThat(first.unknownSettings()).isEmpty();
         assertThat(first.tenants()).hasSize(43);
         assertThat(later.settings().seed).isNotEqualTo(first.settings().seed);
-        assertThat(first.differing(later))
+        assertThat(first.fieldsNeedingRestart(later))
                 .as("a reload takes over all that changes")
                 .isEmpty();
         assertThat(later.settings().tenantQuota).isNotEqualTo(first.settings().tenantQuota);
--- a/src/test/java/barrowshore/capacity/hollow/HollowFleetTest.java
+++ b/src/test/java/barrowshore/capacity/simulated/SimulatedFleetTest.java
@@ -1,8 +1,8 @@
-package barrowshore.capacity.hollow;
+package barrowshore.capacity.simulated;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.fleet.PeerHub;
+import barrowshore.fleet.PeerNetwork;
 import java.nio.file.Path;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
@@ -13,7 +13,7 @@
 
 /** A few hollow schedulers and workers on loopback sockets: who hears of whom, by counts. No time is asserted. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class HollowFleetTest {
+class SimulatedFleetTest {
     private static final int SCHEDULERS = 3, WORKERS = 24, STARTS = 150, REPLACED = 2;
     private static final double TASK_SECONDS = 0.2;
     /** Datagrams of one scheduler to another before and after it is replaced. */
@@ -28,7 +28,7 @@
         }
     }
 
-    private static HollowScheduler.Count count(HollowFleet fleet, int scheduler) {
+    private static SimulatedScheduler.Count count(SimulatedFleet fleet, int scheduler) {
         return fleet.hollow(scheduler).count();
     }
 
@@ -36,9 +36,9 @@
         return IntStream.range(0, SCHEDULERS).filter(k -> k != scheduler);
     }
 
-    private HollowFleet started(int starts) throws Exception {
-        HollowPlan plan = new HollowPlan(WORKERS, SCHEDULERS, 0, starts, 2);
-        HollowFleet fleet = new HollowFleet(plan, folder, null, 1, TASK_SECONDS);
+    private SimulatedFleet started(int starts) throws Exception {
+        SimulatedFleetPlan plan = new SimulatedFleetPlan(WORKERS, SCHEDULERS, 0, starts, 2);
+        SimulatedFleet fleet = new SimulatedFleet(plan, folder, null, 1, TASK_SECONDS);
         fleet.start();
         fleet.load();
         return fleet;
@@ -46,7 +46,7 @@
 
     @Test
     void eachHearsOfEachAndTasksAreServed() throws Exception {
-        try (HollowFleet fleet = started(STARTS)) {
+        try (SimulatedFleet fleet = started(STARTS)) {
             for (int k = 0; k < SCHEDULERS; k++) {
                 int me = k;
                 assertThat(count(fleet, me).listed()).isEqualTo(WORKERS);
@@ -54,9 +54,9 @@
                 others(me)
                         .forEach(from -> await(() -> count(fleet, me).entered().get(from) > 0));
                 await(() -> count(fleet, me).served() > 0);
-                PeerHub.Traffic traffic = fleet.sums(me).peers();
-                assertThat(traffic.sentBytes()).isGreaterThan(traffic.sent() * PeerHub.HEADS);
-                assertThat(traffic.broughtBytes()).isGreaterThan(traffic.brought() * PeerHub.HEADS);
+                PeerNetwork.Traffic traffic = fleet.sums(me).peers();
+                assertThat(traffic.sentBytes()).isGreaterThan(traffic.sent() * PeerNetwork.HEADER_BYTES);
+                assertThat(traffic.deliveredBytes()).isGreaterThan(traffic.delivered() * PeerNetwork.HEADER_BYTES);
                 assertThat(fleet.sums(me).discovery().calls()).isPositive();
             }
         }
@@ -64,11 +64,11 @@
 
     @Test
     void aReplacedSchedulerIsHeardAgainUnderItsName() throws Exception {
-        try (HollowFleet fleet = started(STARTS)) {
+        try (SimulatedFleet fleet = started(STARTS)) {
             others(REPLACED).forEach(k -> await(() -> count(fleet, k).entered().get(REPLACED) > BEFORE));
             fleet.replaceHollow(REPLACED);
             for (int k : others(REPLACED).toArray()) {
-                HollowScheduler.Count replaced = count(fleet, k);
+                SimulatedScheduler.Count replaced = count(fleet, k);
                 long heard = replaced.heard().get(REPLACED);
                 long entered = replaced.entered().get(REPLACED);
                 await(() -> count(fleet, k).heard().get(REPLACED) > heard + AFTER);
@@ -81,7 +81,7 @@
 
     @Test
     void changesOfTheListAndOfTheConfigurationArrive() throws Exception {
-        try (HollowFleet fleet = started(0)) {
+        try (SimulatedFleet fleet = started(0)) {
             int replaced = 2;
             fleet.replaceWorkers(replaced);
             fleet.reload();
