--- a/src/test/java/barrowshore/config/ChangedConfigTest.java
+++ b/src/test/java/barrowshore/config/ChangedConfigTest.java
@@ -31,18 +31,18 @@
 
     private Config next(String what, String with) {
         assertThat(text).contains(what);
-        return Config.parse(text.replace(what, with)).inPlaceOf(now);
+        return Config.parse(text.replace(what, with)).asReloadOf(now);
     }
 
     @Test
     void classesKeepTheirNumbersForLife() {
         Config without = next("\"menu\"", "\"supper\"");
         assertThat(without.classes()).containsExactly("menu", "order", "supper");
-        assertThat(without.served()).containsExactlyInAnyOrder("order", "supper");
+        assertThat(without.acceptedClasses()).containsExactlyInAnyOrder("order", "supper");
         assertThat(without.settings().classes[0]).isEqualTo(now.settings().classes[0]);
-        Config again = Config.parse(text.replace("at_most_once", "idempotent")).inPlaceOf(without);
+        Config again = Config.parse(text.replace("at_most_once", "idempotent")).asReloadOf(without);
         assertThat(again.classes()).containsExactly("menu", "order", "supper");
-        assertThat(again.served()).containsExactlyInAnyOrder("menu", "order");
+        assertThat(again.acceptedClasses()).containsExactlyInAnyOrder("menu", "order");
         assertThat(again.settings().classes[1].safety()).isEqualTo(RepeatSafety.SAFE);
     }
 
@@ -50,9 +50,9 @@
     void whatTheRestIsBuiltOnStaysAndIsNamed() {
         Config next = next("\"groupSize\":1", "\"groupSize\":7");
         assertThat(next.settings().dispatchers).isEqualTo(1);
-        assertThat(now.differing(Config.parse(text.replace("\"groupSize\":1", "\"groupSize\":7"))))
+        assertThat(now.fieldsNeedingRestart(Config.parse(text.replace("\"groupSize\":1", "\"groupSize\":7"))))
                 .containsExactly("settings.groupSize");
-        assertThat(now.differing(Config.parse(text.replace("\"sendCap\":5", "\"sendCap\":2"))))
+        assertThat(now.fieldsNeedingRestart(Config.parse(text.replace("\"sendCap\":5", "\"sendCap\":2"))))
                 .isEmpty();
     }
 
@@ -61,7 +61,7 @@
         String whole = text.strip();
         for (int k = 0; k < whole.length(); k++) {
             String cut = whole.substring(0, k);
-            assertThatThrownBy(() -> Config.parse(cut).inPlaceOf(now)).as(cut).isInstanceOf(ConfigException.class);
+            assertThatThrownBy(() -> Config.parse(cut).asReloadOf(now)).as(cut).isInstanceOf(ConfigException.class);
         }
     }
 
@@ -93,11 +93,11 @@
                 open.remove(each.getKey());
                 String left = new JSON().toJSON(whole);
                 if (at.equals("known")) {
-                    Config.parse(left).inPlaceOf(now); // only a start needs it
+                    Config.parse(left).asReloadOf(now); // only a start needs it
                 } else if (!at.startsWith("known") && !at.startsWith("nobody-knows.this.")) {
                     keys.add(at);
                     String last = String.valueOf(each.getKey());
-                    assertThatThrownBy(() -> Config.parse(left).inPlaceOf(now), at)
+                    assertThatThrownBy(() -> Config.parse(left).asReloadOf(now), at)
                             .isInstanceOf(ConfigException.class)
                             .hasMessageContaining(last);
                 }
@@ -147,9 +147,9 @@
 
     @Test
     void theAddressOfTheEnvironmentCounts() {
-        assertThat(now.withOps("127.0.0.1:77").ops().getPort()).isEqualTo(77);
-        assertThat(now.withOps(null).ops().getPort()).isZero();
-        assertThatThrownBy(() -> now.withOps("77"))
+        assertThat(now.withOpsAddress("127.0.0.1:77").ops().getPort()).isEqualTo(77);
+        assertThat(now.withOpsAddress(null).ops().getPort()).isZero();
+        assertThatThrownBy(() -> now.withOpsAddress("77"))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("GW_OPS");
     }
--- a/src/test/java/barrowshore/config/ConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigTest.java
@@ -29,8 +29,8 @@
         assertThat(config.settings().classes[1].safety()).isEqualTo(RepeatSafety.UNSAFE);
         assertThat(config.settings().connectTimeoutMicros).isEqualTo(250_000);
         assertThat(config.keepAlive()).isEqualTo(60_000_000);
-        assertThat(config.known().revision()).isEqualTo(5);
-        assertThat(config.known().entries()).singleElement().satisfies(e -> {
+        assertThat(config.knownServers().revision()).isEqualTo(5);
+        assertThat(config.knownServers().entries()).singleElement().satisfies(e -> {
             assertThat(e.uid()).isEqualTo("s-1");
             assertThat(e.state()).isEqualTo(ServerList.State.READY);
         });
@@ -70,14 +70,14 @@
                 .replace("\"rev\":5", "\"rev\":6")
                 .replace("\"sockets\":1024", "\"sockets\":512"));
         assertThat(other.discovery().getPort()).isEqualTo(10);
-        assertThat(Config.parse(good()).differing(other)).containsExactly("limits");
+        assertThat(Config.parse(good()).fieldsNeedingRestart(other)).containsExactly("limits");
     }
 
     @Test
     void theRehearsalsConfigurationIsGood() throws IOException {
         String script = Files.readString(Path.of("deploy/archive.sh"));
         Config config = Config.parse(script.substring(script.indexOf("\n{") + 1, script.indexOf("\nJSON")));
-        assertThat(config.known().entries()).hasSize(1);
-        assertThat(config.peers().all().getPort()).isEqualTo(9);
+        assertThat(config.knownServers().entries()).hasSize(1);
+        assertThat(config.peers().broadcast().getPort()).isEqualTo(9);
     }
 }
--- a/src/test/java/barrowshore/emulate/MatrixTest.java
+++ b/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import barrowshore.baseline.BaselineDispatcher;
+import barrowshore.baseline.BaselineDispatcher.Policy;
 import barrowshore.config.ConfigException;
 import barrowshore.module.DispatchApi.JobClass;
 import barrowshore.module.DispatchApi.RepeatSafety;
 import barrowshore.module.DispatchApi.Settings;
-import barrowshore.operator.Operator;
-import barrowshore.rivals.Rival;
-import barrowshore.rivals.Rival.Rule;
+import barrowshore.operator.OperatorSettings;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.util.Arrays;
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Drawn deployments: whatever a platform tells and allows, rules hold; and the world that says so sees a broken one. */
-class MatrixTest {
+class DeploymentComparisonTest {
     private static Report play(long seed, World.Modules modules) {
         Deployment.Drawn drawn = Deployment.draw(seed);
-        return new World(drawn.day(), drawn.deployment(), Operator.NONE, seed, modules).play();
+        return new World(drawn.day(), drawn.deployment(), OperatorSettings.NONE, seed, modules).play();
     }
 
     /** A policy that believes other settings than are in force. */
@@ -34,13 +34,14 @@
             believed.copyIdentityFrom(settings);
             believed.copyReloadableFrom(settings);
             otherwise.accept(believed);
-            return new Rival(Rule.RANDOM, believed, actions, new SplittableRandom(settings.seed)::nextDouble, null);
+            return new BaselineDispatcher(
+                    Policy.RANDOM, believed, actions, new SplittableRandom(settings.seed)::nextDouble, null);
         };
     }
 
     @Test
     void noRuleIsBrokenOnAnyDeployment() {
-        assertThat(Matrix.play(150, 1, false))
+        assertThat(DeploymentComparison.play(150, 1, false))
                 .allSatisfy(row -> assertThat(row.module().rulesBroken())
                         .as("seed %d: %s", row.seed(), row.drawn().deployment().features())
                         .isEmpty());
@@ -48,8 +49,8 @@
 
     @Test
     void everyRivalKeepsTheRules() {
-        List<Matrix.Row> rows = Matrix.play(40, 1, true);
-        assertThat(rows).allSatisfy(row -> assertThat(row.rivals()).hasSize(Rule.values().length));
+        List<DeploymentComparison.Row> rows = DeploymentComparison.play(40, 1, true);
+        assertThat(rows).allSatisfy(row -> assertThat(row.rivals()).hasSize(Policy.values().length));
         // One that is put at 0 has broken a rule: a slow start by chance may push a cold node over now and then.
         assertThat(rows.stream()
                         .flatMap(row -> row.rivals().values().stream())
@@ -101,10 +102,10 @@
     @Test
     void theTableNamesWhatIsOnWorstFirst() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Matrix.run(new PrintStream(out, true), 6, 1, true, null);
+        DeploymentComparison.run(new PrintStream(out, true), 6, 1, true, null);
         assertThat(out.toString())
                 .contains("6 deployments from seed 1", "true state", "where this is on", "schedulers");
-        assertThatThrownBy(() -> Matrix.run(new PrintStream(out), 0, 1, true, null))
+        assertThatThrownBy(() -> DeploymentComparison.run(new PrintStream(out), 0, 1, true, null))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("--deployments");
     }
--- a/src/test/java/barrowshore/emulate/EmulatorPropertyTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorPropertyTest.java
@@ -5,7 +5,7 @@
 import barrowshore.emulate.Scenario.Happening;
 import barrowshore.emulate.Scenario.What;
 import barrowshore.emulate.Scenario.ZoneSpec;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,7 +17,7 @@
 /** Whole days of random misfortune: whatever happens to zones, nodes and schedulers, the rules hold. */
 class EmulatorPropertyTest {
     private static final long S = 1_000_000;
-    private static final Operator ON = Operator.read(Path.of("deploy/operator.xml"));
+    private static final OperatorSettings ON = OperatorSettings.read(Path.of("deploy/operator.xml"));
     private static final What[] KINDS = {
         What.VANISH,
         What.CRASH,
--- a/src/test/java/barrowshore/emulate/EmulatorTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import barrowshore.config.ConfigException;
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
 /** Whole days in virtual time: every rule in every scenario, the same run for the same seed, and what zones are for. */
 class EmulatorTest {
     private static final Path SCENARIOS = Path.of("scenarios");
-    private static final Operator ON = Operator.read(Path.of("deploy/operator.xml"));
+    private static final OperatorSettings ON = OperatorSettings.read(Path.of("deploy/operator.xml"));
 
     static Stream<String> scenarios() throws IOException {
         try (Stream<Path> all = Files.list(SCENARIOS)) {
@@ -33,7 +33,7 @@
         }
     }
 
-    private static List<Report> play(String file, Operator operator, int seeds) {
+    private static List<Report> play(String file, OperatorSettings operator, int seeds) {
         Scenario scenario = Scenario.read(SCENARIOS.resolve(file));
         return LongStream.rangeClosed(1, seeds)
                 .parallel()
@@ -44,7 +44,7 @@
     @ParameterizedTest
     @MethodSource("scenarios")
     void noRuleIsBrokenWithHallsOnOrOff(String file) {
-        for (Operator operator : List.of(ON, Operator.NONE)) {
+        for (OperatorSettings operator : List.of(ON, OperatorSettings.NONE)) {
             assertThat(play(file, operator, 2)).allSatisfy(r -> {
                 assertThat(r.broken()).as(r.table()).isZero();
                 assertThat(r.coldUse()).isLessThan(1);
@@ -65,7 +65,7 @@
     /** Fourteen schedulers share nodes that return cold: each is used, and all together stay under its budget. */
     @Test
     void coldNodesAreSharedByAFleetWithoutFallingOver() {
-        for (Report r : play("fleet-cold.xml", Operator.NONE, 4)) {
+        for (Report r : play("fleet-cold.xml", OperatorSettings.NONE, 4)) {
             assertThat(r.fallen()).as(r.table()).isZero();
             assertThat(r.coldUse()).as(r.table()).isBetween(0.1, 1.0);
         }
@@ -97,7 +97,7 @@
 
     @Test
     void aJumpOfTrafficIntoTheHallThatIsLeftIsBounded() {
-        List<Report> on = play("hall-burst.xml", ON, 8), off = play("hall-burst.xml", Operator.NONE, 8);
+        List<Report> on = play("hall-burst.xml", ON, 8), off = play("hall-burst.xml", OperatorSettings.NONE, 8);
         // The limit is a share of the slots that there are, and the crowd must not make them look like more.
         assertThat(on)
                 .allSatisfy(r -> assertThat(r.mostSpillShare(1)).as(r.table()).isLessThanOrEqualTo(1));
--- a/src/test/java/barrowshore/files/FileMacTest.java
+++ b/src/test/java/barrowshore/files/FileSignerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The keyed MAC beside a file. */
-class FileMacTest {
+class FileSignerTest {
     @TempDir
     Path dir;
 
@@ -38,7 +38,7 @@
 
     @Test
     void oneGoodKeyIsEnoughSoThatTwoCanOverlap() throws IOException {
-        FileMac macs = new FileMac(dir);
+        FileSigner macs = new FileSigner(dir);
         macs.sign(file, List.of("old", "new"));
         assertThatCode(() -> macs.verify(file, bytes)).doesNotThrowAnyException();
         Files.delete(dir.resolve("old.key"));
@@ -51,14 +51,14 @@
     @Test
     void theMacIsHmacSha256OverTheExactBytes() throws Exception {
         key("rfc", "0b".repeat(32), "rw-------");
-        new FileMac(dir).sign(file, List.of("rfc"));
+        new FileSigner(dir).sign(file, List.of("rfc"));
         assertThat(Files.readString(dir.resolve("list.mac")))
                 .isEqualTo("rfc " + "c3f2649c34ea24e4d62a2c7e868bbea0233c9d4c2cc300794db76aa18d6822d8\n");
     }
 
     @Test
     void whatIsNotGoodIsRefusedWithTheReason() throws IOException {
-        FileMac macs = new FileMac(dir);
+        FileSigner macs = new FileSigner(dir);
         assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("list.mac cannot be read");
         macs.sign(file, List.of("old"));
         byte[] other = bytes.clone();
--- a/src/test/java/barrowshore/fleet/FleetTest.java
+++ b/src/test/java/barrowshore/fleet/FleetTest.java
@@ -39,7 +39,7 @@
     @Test
     void fiveProcessesUnderFaultsKeepWhatMustHold() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Fleet.Outcome outcome = Fleet.play(
+        Fleet.Outcome outcome = Fleet.run(
                 scenario(
                         "loss=\"0.2\"",
                         """
@@ -53,7 +53,7 @@
                 folder,
                 null,
                 new PrintStream(out, true));
-        assertThat(outcome.broken()).as(out.toString()).isEmpty();
+        assertThat(outcome.violations()).as(out.toString()).isEmpty();
         assertThat(outcome.answers().get("served")).as(out.toString()).isPositive();
         assertThat(ours()).isEmpty();
         assertThat(Files.readString(folder.resolve("events.jsonl")))
@@ -68,22 +68,22 @@
     void oneThatDoesNotComeUpIsAnErrorThatNamesItsLog() throws Exception {
         Path deploy = folder.resolve("deploy.toml");
         Files.writeString(deploy, "run = \"exec java -Xmx1k -jar target/x.jar serve\"\n");
-        assertThatThrownBy(() ->
-                        Fleet.play(scenario("", ""), folder, deploy, new PrintStream(new ByteArrayOutputStream())))
+        assertThatThrownBy(
+                        () -> Fleet.run(scenario("", ""), folder, deploy, new PrintStream(new ByteArrayOutputStream())))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("before it was ready")
                 .hasMessageContaining("n0.log");
         assertThat(ours()).isEmpty();
         Files.writeString(deploy, "run = \"sleep 9\"\n");
-        assertThatThrownBy(() ->
-                        Fleet.play(scenario("", ""), folder, deploy, new PrintStream(new ByteArrayOutputStream())))
+        assertThatThrownBy(
+                        () -> Fleet.run(scenario("", ""), folder, deploy, new PrintStream(new ByteArrayOutputStream())))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("no line run");
     }
 
     @Test
     void moreThanTheMemoryHoldsIsNotStarted() {
-        assertThatThrownBy(() -> Fleet.play(
+        assertThatThrownBy(() -> Fleet.run(
                         new FleetScenario("huge", 900_000, 1, 1, 1, 1, 0, List.of()),
                         folder,
                         null,
--- a/src/test/java/barrowshore/model/NodeModelTest.java
+++ b/src/test/java/barrowshore/model/WorkerModelTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The model of an order node, against figures worked out by hand. */
-class NodeModelTest {
+class WorkerModelTest {
     private static final long MS = 1_000, S = 1_000_000;
 
     private static final class Given implements Timeline {
@@ -25,7 +25,7 @@
         }
 
         @Override
-        public void at(long time, Runnable run) {
+        public void runAt(long time, Runnable run) {
             events.add(new Event(time, order++, run));
         }
 
@@ -43,16 +43,16 @@
     private final Given time = new Given();
     private final List<String> words = new ArrayList<>();
 
-    private NodeModel node(int cores, double speed, double queue, boolean backfill) {
-        return new NodeModel(
+    private WorkerModel node(int cores, double speed, double queue, boolean backfill) {
+        return new WorkerModel(
                 time,
-                new NodeModel.Spec(cores, speed, queue, backfill, 0.2, 20 * S),
-                new NodeModel.Falling(3, 2 * S, 500 * MS),
+                new WorkerModel.Spec(cores, speed, queue, backfill, 0.2, 20 * S),
+                new WorkerModel.OverloadLimit(3, 2 * S, 500 * MS),
                 2 * S);
     }
 
-    private NodeModel.Job job(String name, double slots, long work) {
-        return new NodeModel.Job() {
+    private WorkerModel.Job job(String name, double slots, long work) {
+        return new WorkerModel.Job() {
             @Override
             public double slots() {
                 return slots;
@@ -101,7 +101,7 @@
 
     @Test
     void servesInOrderOrWhatFits() {
-        NodeModel fifo = node(2, 0.5, 10, false);
+        WorkerModel fifo = node(2, 0.5, 10, false);
         fifo.offer(job("a", 1, 100 * MS));
         fifo.offer(job("b", 2, 100 * MS));
         fifo.offer(job("c", 1, 100 * MS));
@@ -110,7 +110,7 @@
                 .containsExactly(
                         "a started 0", "a done 200", "b started 200", "b done 400", "c started 400", "c done 600");
         words.clear();
-        NodeModel backfill = node(2, 1, 10, true);
+        WorkerModel backfill = node(2, 1, 10, true);
         backfill.offer(job("a", 1, 100 * MS));
         backfill.offer(job("b", 2, 100 * MS));
         backfill.offer(job("c", 1, 100 * MS));
@@ -119,10 +119,10 @@
 
     @Test
     void tellsProgressAndSlowsDown() {
-        NodeModel node = node(1, 1, 10, false);
+        WorkerModel node = node(1, 1, 10, false);
         node.offer(job("a", 1, 4 * S));
         time.pass(S);
-        node.slow(3);
+        node.setSlowdown(3);
         time.pass(20 * S);
         assertThat(words)
                 .containsExactly(
@@ -136,26 +136,26 @@
 
     @Test
     void aHungNodeTakesWorkAndAnswersLater() {
-        NodeModel node = node(1, 1, 10, false);
+        WorkerModel node = node(1, 1, 10, false);
         node.offer(job("a", 1, S));
         time.pass(500 * MS);
-        node.hang(true);
+        node.setHung(true);
         node.offer(job("b", 1, S));
         time.pass(10 * S);
         assertThat(words).containsExactly("a started 0");
-        node.hang(false);
+        node.setHung(false);
         time.pass(5 * S);
         assertThat(words).containsExactly("a started 0", "a done 11000", "b started 11000", "b done 12000");
     }
 
     @Test
     void turnsAwayAboveItsQueueAndWhileItDrains() {
-        NodeModel node = node(1, 1, 2, false);
+        WorkerModel node = node(1, 1, 2, false);
         for (String name : List.of("a", "b", "c", "d")) {
             node.offer(job(name, 1, S));
         }
         assertThat(words).containsExactly("a started 0", "d returned 0");
-        node.drain(true);
+        node.setDraining(true);
         node.offer(job("e", 1, S));
         time.pass(5 * S);
         assertThat(words.subList(2, words.size()))
@@ -164,7 +164,7 @@
 
     @Test
     void warmsUpEvenly() {
-        NodeModel node = node(1, 1, 10, false);
+        WorkerModel node = node(1, 1, 10, false);
         node.crash();
         node.restart();
         node.offer(job("a", 1, S));
@@ -179,7 +179,7 @@
     /** 0.2 of ten cores are two: a lone job has one to itself, eight share 2.2 and more (0.275 t + 0.025 t^2 = 0.5 s). */
     @Test
     void aColdNodeHasFewerCoresAndNotSlowerOnes() {
-        NodeModel node = node(10, 1, 100, false);
+        WorkerModel node = node(10, 1, 100, false);
         node.crash();
         node.restart();
         node.offer(job("alone", 1, 500 * MS));
@@ -194,31 +194,31 @@
 
     @Test
     void fallsOverWhenTooMuchComesWhileItIsCold() {
-        NodeModel node = node(4, 1, 100, false);
+        WorkerModel node = node(4, 1, 100, false);
         node.crash();
         node.restart();
         // Three times 0.2 of 4 cores for 2 s is 9.6 usual jobs of 0.5 s; with 3 sqrt(9.6) + 3 for chance, 21.9 of them.
         for (int k = 0; k < 21; k++) {
             node.offer(job("j" + k, 1, 500 * MS));
         }
-        assertThat(node.fallen()).isFalse();
-        assertThat(node.coldUse()).isBetween(0.9, 1.0);
+        assertThat(node.hasFailedFromOverload()).isFalse();
+        assertThat(node.coldBudgetUsed()).isBetween(0.9, 1.0);
         node.offer(job("last", 1, 500 * MS));
-        assertThat(node.fallen()).isTrue();
-        assertThat(node.up()).isFalse();
+        assertThat(node.hasFailedFromOverload()).isTrue();
+        assertThat(node.isUp()).isFalse();
         node.restart();
-        assertThat(node.up()).isFalse();
+        assertThat(node.isUp()).isFalse();
         assertThat(words).filteredOn(w -> w.contains("lost")).hasSize(22);
     }
 
     @Test
     void aWarmNodeMayBePushedHard() {
-        NodeModel node = node(4, 1, 1000, false);
+        WorkerModel node = node(4, 1, 1000, false);
         for (int k = 0; k < 100; k++) {
             node.offer(job("j" + k, 1, 500 * MS));
         }
-        assertThat(node.fallen()).isFalse();
-        assertThat(node.held()).isEqualTo(100);
+        assertThat(node.hasFailedFromOverload()).isFalse();
+        assertThat(node.jobCount()).isEqualTo(100);
         assertThat(node.freeSlots()).isZero();
     }
 }
--- a/src/test/java/barrowshore/node/ExchangeTest.java
+++ b/src/test/java/barrowshore/node/ExchangeTest.java
@@ -8,9 +8,9 @@
 import barrowshore.module.Dispatcher;
 import barrowshore.net.Clock;
 import barrowshore.net.ManualTime;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
-import barrowshore.operator.SetupFiles;
+import barrowshore.operator.ConfigFiles;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PushbackInputStream;
@@ -133,7 +133,7 @@
                 case "reload" -> {
                     config = config.replace(named(words[1]), named(words[2]));
                     String file = config;
-                    node.reload(() -> new Setup(Config.parse(file), Operator.NONE));
+                    node.reload(() -> new SchedulerConfig(Config.parse(file), OperatorSettings.NONE));
                 }
                 case "look-again" -> lookAgain(named(words[1]), named(words[2]));
                 case "module" -> module = words[1];
@@ -200,7 +200,7 @@
         private void lookAgain(String part, String instead) throws Exception {
             Path file = folder.resolve("config.json");
             Files.writeString(file, config);
-            SetupFiles files = new SetupFiles(file, null, null);
+            ConfigFiles files = new ConfigFiles(file, null, null);
             files.read();
             node.lookAgain(files); // it is as it was
             config = config.replace(part, instead);
@@ -284,7 +284,7 @@
             config = named(config);
             Config read = Config.parse(config);
             node = new JobScheduler(
-                    new Setup(read, Operator.NONE),
+                    new SchedulerConfig(read, OperatorSettings.NONE),
                     new Clock(1_700_000_000_000L, time::nanos),
                     time,
                     folder.resolve("t"),
--- a/src/test/java/barrowshore/node/LateConnectionTest.java
+++ b/src/test/java/barrowshore/node/LateConnectionTest.java
@@ -82,7 +82,7 @@
                 message -> {},
                 actions -> new Dispatcher(config.settings(), actions));
         module.start();
-        module.update(config.known());
+        module.update(config.knownServers());
     }
 
     @AfterEach
--- a/src/test/java/barrowshore/node/ReadyTest.java
+++ b/src/test/java/barrowshore/node/ReadyTest.java
@@ -6,8 +6,8 @@
 import barrowshore.module.Dispatcher;
 import barrowshore.net.Clock;
 import barrowshore.net.ManualTime;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import barrowshore.servers.ScriptedDiscovery;
 import barrowshore.servers.ScriptedDiscovery.Call;
 import java.io.IOException;
@@ -61,7 +61,7 @@
                 .replace("$S", "127.0.0.1:1")
                 .replace("\"known\":", withKnownList ? "\"known\":" : "\"unknown\":"));
         node = new JobScheduler(
-                new Setup(config, Operator.NONE),
+                new SchedulerConfig(config, OperatorSettings.NONE),
                 new Clock(1_700_000_000_000L, time::nanos),
                 time,
                 null,
--- a/src/test/java/barrowshore/node/ReloadOperatorTest.java
+++ b/src/test/java/barrowshore/node/ReloadOperatorTest.java
@@ -4,8 +4,8 @@
 
 import barrowshore.config.Config;
 import barrowshore.config.ConfigException;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
@@ -16,9 +16,9 @@
 /** The operators' settings read again while a scheduler runs: whole, or not at all. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReloadOperatorTest {
-    private static Setup setup(Operator operator) {
+    private static SchedulerConfig setup(OperatorSettings operator) {
         try {
-            return new Setup(
+            return new SchedulerConfig(
                     Config.parse(Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                             .replace("$S", "127.0.0.1:7")
                             .replace("$D", "127.0.0.1:9")),
@@ -29,7 +29,7 @@
     }
 
     /** How many halls the scheduler knows when the next file is read: the ones before it are done with by then. */
-    private static int halls(JobScheduler node, Supplier<Setup> next) throws Exception {
+    private static int halls(JobScheduler node, Supplier<SchedulerConfig> next) throws Exception {
         CompletableFuture<Integer> seen = new CompletableFuture<>();
         node.reload(() -> {
             seen.complete(node.hallStates().join().size());
@@ -40,8 +40,8 @@
 
     @Test
     void hallsAreSwitchedOnKeptAndSwitchedOff() throws Exception {
-        Operator on = new Operator(Operator.Halls.usual());
-        JobScheduler node = JobScheduler.start(setup(Operator.NONE));
+        OperatorSettings on = new OperatorSettings(OperatorSettings.HallSettings.defaults());
+        JobScheduler node = JobScheduler.start(setup(OperatorSettings.NONE));
         try {
             assertThat(halls(node, () -> setup(on))).isZero();
             assertThat(halls(node, () -> {
@@ -51,14 +51,14 @@
             // A preference for a hall that there is not: found only when the two files are put together.
             assertThat(halls(
                             node,
-                            () -> setup(Operator.parse(
+                            () -> setup(OperatorSettings.parse(
                                     "f",
                                     "<operator xmlns=\"urn:barrowshore:operator:1\"><halls>"
                                             + "<preference of=\"nowhere\"><tier><hall name=\"a\"/></tier>"
                                             + "</preference></halls></operator>"))))
                     .isEqualTo(2);
-            assertThat(halls(node, () -> setup(Operator.NONE))).isEqualTo(2);
-            assertThat(halls(node, () -> setup(Operator.NONE))).isZero();
+            assertThat(halls(node, () -> setup(OperatorSettings.NONE))).isEqualTo(2);
+            assertThat(halls(node, () -> setup(OperatorSettings.NONE))).isZero();
         } finally {
             node.stop();
         }
--- a/src/test/java/barrowshore/node/ShutdownTest.java
+++ b/src/test/java/barrowshore/node/ShutdownTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import barrowshore.config.Config;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import java.io.InputStream;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -30,7 +30,7 @@
             CompletableFuture<Integer> halted = new CompletableFuture<>();
             Thread end = new Thread(JobScheduler.end(started, halted::complete));
             end.start();
-            JobScheduler node = JobScheduler.start(new Setup(Config.parse(config), Operator.NONE));
+            JobScheduler node = JobScheduler.start(new SchedulerConfig(Config.parse(config), OperatorSettings.NONE));
             try (Socket client =
                     new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
                 started.complete(node);
--- a/src/test/java/barrowshore/operator/SetupFilesTest.java
+++ b/src/test/java/barrowshore/operator/ConfigFilesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SetupFilesTest {
+class ConfigFilesTest {
     @TempDir
     private Path folder;
 
@@ -20,16 +20,16 @@
         String text = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("\\$[DS]", "127.0.0.1:9");
         Files.writeString(file, text);
-        SetupFiles files = new SetupFiles(file, "127.0.0.1:77", null);
+        ConfigFiles files = new ConfigFiles(file, "127.0.0.1:77", null);
         assertThat(files.read().config().ops().getPort()).isEqualTo(77);
-        assertThat(files.changed()).isFalse();
+        assertThat(files.isConfigChanged()).isFalse();
         Files.writeString(file, text);
-        assertThat(files.changed()).isFalse();
+        assertThat(files.isConfigChanged()).isFalse();
         Files.delete(file);
-        assertThat(files.changed()).isFalse();
+        assertThat(files.isConfigChanged()).isFalse();
         Files.writeString(file, "half");
-        assertThat(files.changed()).isTrue();
+        assertThat(files.isConfigChanged()).isTrue();
         assertThatThrownBy(files::read).isInstanceOf(ConfigException.class);
-        assertThat(files.changed()).isFalse();
+        assertThat(files.isConfigChanged()).isFalse();
     }
 }
--- a/src/test/java/barrowshore/operator/OperatorTest.java
+++ b/src/test/java/barrowshore/operator/OperatorSettingsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The operators' file: what it says, and that what is wrong in it is named by line, column and element. */
-class OperatorTest {
+class OperatorSettingsTest {
     private static final List<String> ZONES = List.of("hala-a", "hala-b");
 
     private static String good() throws IOException {
@@ -24,16 +24,16 @@
 
     @Test
     void theExampleIsGoodAndSaysWhatTheDefaultsSay() throws IOException {
-        HallRules rules = Operator.parse("f", good()).halls().rules(ZONES, 1);
+        HallRules rules = OperatorSettings.parse("f", good()).halls().rulesFor(ZONES, 1);
         assertThat(rules)
                 .isEqualTo(HallRules.defaults(ZONES, 1))
-                .isEqualTo(Operator.Halls.usual().rules(ZONES, 1));
+                .isEqualTo(OperatorSettings.HallSettings.defaults().rulesFor(ZONES, 1));
     }
 
     @Test
     void whatIsLeftOutIsOff() {
-        assertThat(Operator.parse("f", "<operator xmlns=\"urn:barrowshore:operator:1\"/>"))
-                .isEqualTo(Operator.NONE);
+        assertThat(OperatorSettings.parse("f", "<operator xmlns=\"urn:barrowshore:operator:1\"/>"))
+                .isEqualTo(OperatorSettings.NONE);
     }
 
     @Test
@@ -41,9 +41,9 @@
         String three = good().replace(
                         "<tier><hall name=\"hala-b\"/></tier>\n    </preference>\n    <preference",
                         "<tier><hall name=\"hala-c\"/></tier>\n    </preference>\n    <preference");
-        HallRules rules = Operator.parse("f", three).halls().rules(List.of("hala-a", "hala-b", "hala-c"), 0);
+        HallRules rules = OperatorSettings.parse("f", three).halls().rulesFor(List.of("hala-a", "hala-b", "hala-c"), 0);
         assertThat(rules.tiersByHall()).containsExactly(0, 2, 1);
-        assertThatThrownBy(() -> Operator.parse("f", three).halls().rules(ZONES, 0))
+        assertThatThrownBy(() -> OperatorSettings.parse("f", three).halls().rulesFor(ZONES, 0))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("hala-c");
     }
@@ -67,7 +67,7 @@
         String bad = good().replaceFirst(
                         java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead));
         assertThat(bad).isNotEqualTo(good());
-        assertThatThrownBy(() -> Operator.parse("f", bad))
+        assertThatThrownBy(() -> OperatorSettings.parse("f", bad))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageStartingWith("f: " + message)
                 .message()
@@ -79,12 +79,12 @@
         Path secret = Files.writeString(dir.resolve("secret"), "hala-z");
         String xxe = "<!DOCTYPE operator [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n"
                 + good().replaceFirst("<\\?xml[^>]*>", "").replace("of=\"hala-b\"", "of=\"&x;\"");
-        assertThatThrownBy(() -> Operator.parse("f", xxe))
+        assertThatThrownBy(() -> OperatorSettings.parse("f", xxe))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("DOCTYPE");
         Path huge = Files.writeString(
                 dir.resolve("huge"), good().replace("</operator>", " ".repeat(1 << 20) + "</operator>"));
-        assertThatThrownBy(() -> Operator.read(huge)).hasMessageContaining("is over 1048576 bytes");
-        assertThatThrownBy(() -> Operator.read(dir.resolve("none"))).hasMessageContaining("cannot be read");
+        assertThatThrownBy(() -> OperatorSettings.read(huge)).hasMessageContaining("is over 1048576 bytes");
+        assertThatThrownBy(() -> OperatorSettings.read(dir.resolve("none"))).hasMessageContaining("cannot be read");
     }
 }
--- a/src/test/java/barrowshore/ops/OpsDoorTest.java
+++ b/src/test/java/barrowshore/ops/OpsServerTest.java
@@ -20,21 +20,21 @@
 
 /** The door by itself, on a loopback socket, with a desk that always says no. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class OpsDoorTest {
-    private static final OpsDoor.Desk DESK = new OpsDoor.Desk() {
+class OpsServerTest {
+    private static final OpsServer.SchedulerControl DESK = new OpsServer.SchedulerControl() {
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return false;
         }
 
         @Override
-        public SchedulerMetrics figures() {
+        public SchedulerMetrics metrics() {
             return new SchedulerMetrics(
                     false, List.of(new SchedulerMetrics.ClassCounts("soup", 812, 3, 1)), 820, 14, 5, 2, 1, 4);
         }
 
         @Override
-        public boolean sendAway() {
+        public boolean drain() {
             return false;
         }
 
@@ -54,11 +54,11 @@
 
     private final Scheduler timers = new NoTime();
     private final List<Socket> callers = new ArrayList<>();
-    private OpsDoor door;
+    private OpsServer door;
 
     @BeforeEach
     void open() throws Exception {
-        door = new OpsDoor(
+        door = new OpsServer(
                 ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)),
                 timers,
                 DESK);
--- a/src/test/java/barrowshore/peer/PeerMessengerTest.java
+++ b/src/test/java/barrowshore/peer/PeerMessengerTest.java
@@ -38,7 +38,7 @@
                 DatagramSocket ours = new DatagramSocket(0, LOOPBACK)) {
             InetSocketAddress at = new InetSocketAddress(LOOPBACK, peer.getLocalPort());
             PeerMessenger side = new PeerMessenger(
-                    new Config.Peering(
+                    new Config.PeerConfig(
                             new InetSocketAddress(LOOPBACK, 0),
                             List.of(new InetSocketAddress(LOOPBACK, ours.getLocalPort()), at),
                             0,
--- a/src/test/java/barrowshore/servers/LoadReportTest.java
+++ b/src/test/java/barrowshore/servers/LoadReportTest.java
@@ -12,13 +12,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"-0.5", "1e18", "1e999", "\"4\"", "null", "true", "[4]", "{}", "NaN"})
     void aFigureThatNoMachineCanHaveIsNone(String value) {
-        assertThat(Server.load(Json.orNull("{\"inflight\":" + value + ",\"util\":1,\"x0\":2.5}")))
+        assertThat(Server.load(Json.parseOrNull("{\"inflight\":" + value + ",\"util\":1,\"x0\":2.5}")))
                 .isEqualTo(new Load(Double.NaN, Double.NaN, 2.5));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "{\"inflight\":7", "[]", "7", "{}", "inflight=7"})
     void whatIsNoReportIsNone(String text) {
-        assertThat(Server.load(Json.orNull(text))).isNull();
+        assertThat(Server.load(Json.parseOrNull(text))).isNull();
     }
 }
--- a/src/test/java/barrowshore/standin/HallMoveTest.java
+++ b/src/test/java/barrowshore/standin/HallMoveTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import barrowshore.operator.Operator;
+import barrowshore.operator.OperatorSettings;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -64,7 +64,7 @@
 
     @Test
     void everyFlowIsAnsweredAndNothingRunsTwiceWhileAHallFlaps() throws Exception {
-        try (StandInSite site = new StandInSite(3, new Operator(Operator.Halls.usual()))) {
+        try (StandInSite site = new StandInSite(3, new OperatorSettings(OperatorSettings.HallSettings.defaults()))) {
             site.awaitReady();
             jobs(site, 60);
             for (int flap = 0; flap < 2; flap++) {
@@ -73,16 +73,18 @@
                 site.regain(0);
                 jobs(site, 300);
             }
-            List<StandInNode.Count> counts = site.counts();
+            List<StandInWorker.Counters> counts = site.counts();
             assertThat(answers)
                     .hasSize(next.get())
                     .allSatisfy((id, answer) -> assertThat(answer).as(id).matches("(?s)HTTP/1.1 (200|502|503|504) .*"));
             assertThat(answers.values())
                     .filteredOn(a -> a.startsWith("HTTP/1.1 503"))
                     .allMatch(a -> a.contains("Retry-After"));
-            assertThat(counts).noneMatch(StandInNode.Count::fallen).allMatch(c -> c.coldUse() < 1);
+            assertThat(counts)
+                    .noneMatch(StandInWorker.Counters::failedFromOverload)
+                    .allMatch(c -> c.coldBudgetUsed() < 1);
             Map<String, Integer> runs = new ConcurrentHashMap<>();
-            counts.forEach(c -> c.runs().forEach((id, n) -> runs.merge(id, n, Integer::sum)));
+            counts.forEach(c -> c.startsByJobId().forEach((id, n) -> runs.merge(id, n, Integer::sum)));
             assertThat(runs).allSatisfy((id, n) -> {
                 if (id.startsWith("objednavka")) {
                     assertThat(n).as(id).isEqualTo(1);
--- a/src/test/java/barrowshore/standin/WatchedServersTest.java
+++ b/src/test/java/barrowshore/standin/WatchedServersTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import barrowshore.config.Config;
-import barrowshore.model.NodeModel;
+import barrowshore.model.WorkerModel;
 import barrowshore.node.JobScheduler;
-import barrowshore.operator.Operator;
-import barrowshore.operator.Setup;
+import barrowshore.operator.OperatorSettings;
+import barrowshore.operator.SchedulerConfig;
 import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -40,20 +40,20 @@
 
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final List<StandInNode> nodes = new ArrayList<>();
+    private final List<StandInWorker> nodes = new ArrayList<>();
     private final AtomicInteger ids = new AtomicInteger();
-    private StandInFront front;
+    private StandInListener front;
     private JobScheduler scheduler;
 
     @BeforeEach
     void start() throws Exception {
         timers.start();
-        front = new StandInFront(pool, timers, 2048);
+        front = new StandInListener(pool, timers, 2048);
         for (int n = 0; n < 4; n++) {
-            nodes.add(new StandInNode(
+            nodes.add(new StandInWorker(
                     "s" + n,
-                    new NodeModel.Spec(4, 1, 40, true, 0.3, 6_000_000),
-                    new NodeModel.Falling(3, 2_000_000, 150_000),
+                    new WorkerModel.Spec(4, 1, 40, true, 0.3, 6_000_000),
+                    new WorkerModel.OverloadLimit(3, 2_000_000, 150_000),
                     500_000,
                     front,
                     pool,
@@ -64,7 +64,7 @@
     @AfterEach
     void stop() throws Exception {
         scheduler.stop();
-        nodes.forEach(StandInNode::stop);
+        nodes.forEach(StandInWorker::stop);
         front.stop();
         LifeCycle.stop(timers);
         pool.shutdownNow();
@@ -88,8 +88,9 @@
                 .replace("$S", "127.0.0.1:7")
                 .replace("$D", "127.0.0.1:9")
                 .replace("\"sockets\":1024", "\"sockets\":512");
-        scheduler = JobScheduler.start(
-                new Setup(Config.parse(config), new Operator(null, new Operator.Servers(file, 0.9, true, null))));
+        scheduler = JobScheduler.start(new SchedulerConfig(
+                Config.parse(config),
+                new OperatorSettings(null, new OperatorSettings.ServersFileSettings(file, 0.9, true, null))));
     }
 
     /** One job, and its whole answer. */
@@ -160,17 +161,18 @@
             inARow = ask().endsWith("by s2") ? inARow + 1 : 0;
         }
         int[] before = {
-            nodes.get(0).count().join().runs().size(),
-            nodes.get(1).count().join().runs().size()
+            nodes.get(0).counters().join().startsByJobId().size(),
+            nodes.get(1).counters().join().startsByJobId().size()
         };
         for (int k = 0; k < 40; k++) {
             assertThat(ask()).matches("(?s)HTTP/1.1 200 .*by s2");
         }
-        assertThat(nodes.get(0).count().join().runs()).hasSize(before[0]);
-        assertThat(nodes.get(1).count().join().runs()).hasSize(before[1]);
-        assertThat(nodes.get(3).count().join().runs()).isEmpty();
+        assertThat(nodes.get(0).counters().join().startsByJobId()).hasSize(before[0]);
+        assertThat(nodes.get(1).counters().join().startsByJobId()).hasSize(before[1]);
+        assertThat(nodes.get(3).counters().join().startsByJobId()).isEmpty();
         assertThat(nodes)
-                .allSatisfy(n -> assertThat(n.count().join().runs().values()).allMatch(runs -> runs == 1));
+                .allSatisfy(n ->
+                        assertThat(n.counters().join().startsByJobId().values()).allMatch(runs -> runs == 1));
     }
 
     @Test
--- a/src/test/java/barrowshore/wire/SettingsReaderTest.java
+++ b/src/test/java/barrowshore/wire/SettingsReaderTest.java
@@ -50,9 +50,9 @@
                 List.of(Map.of("name", "acme", "quotaPerS", 8.0)),
                 "unheard",
                 Map.of("of", 1L)));
-        assertThat(reader.settings(7)).usingRecursiveComparison().isEqualTo(flat);
-        assertThat(reader.names("lanes")).containsExactly("menu");
-        assertThat(reader.items("kinds")).containsExactly("big_one", "small");
+        assertThat(reader.toSettings(7)).usingRecursiveComparison().isEqualTo(flat);
+        assertThat(reader.itemNames("lanes")).containsExactly("menu");
+        assertThat(reader.listItems("kinds")).containsExactly("big_one", "small");
         assertThat(Arrays.asList(flat.classes)).hasSize(1);
         assertThat(flat.kinds).isEqualTo(2);
     }
@@ -69,6 +69,6 @@
                 List.of(Map.of("name", "menu", "aim", 1L, "tint", 1L), Map.of("name", "order", "tint", 2L)),
                 "rules",
                 Map.of("fall", 1L, "rise", Map.of("by", 2L))));
-        assertThat(reader.unknown()).containsExactly("hue", "lanes.N.tint", "rules.rise.by");
+        assertThat(reader.unknownKeys()).containsExactly("hue", "lanes.N.tint", "rules.rise.by");
     }
 }
