--- a/src/main/java/barrowshore/capacity/simulated/SimulatedScheduler.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedScheduler.java
@@ -41,7 +41,7 @@
  * must never share what it has learned with another one.
  */
 final class SimulatedScheduler implements DispatchApi.Actions, AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(SimulatedScheduler.class.getName());
+    private static final System.Logger LOG = System.getLogger("barrowshore.capacity.hollow.HollowScheduler");
     /** Threads and outgoing connections: as a scheduler on one core has, and the watch's alone. */
     private static final int THREADS = 4, CONNECTIONS = 4;
 
--- a/src/main/java/barrowshore/operator/ConfigFiles.java
+++ b/src/main/java/barrowshore/operator/ConfigFiles.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * The files that a {@link SchedulerConfig} is read from, and what the configuration said when it was read last. It owns nothing else,
- * and is used by one thread at a time.
+ * The files that a {@link SchedulerConfig} is read from, and what the configuration said when it was read last. It owns
+ * nothing else, and is used by one thread at a time.
  */
 public final class ConfigFiles {
     private final Path config;
