--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -20,24 +20,24 @@
     }
 
     /** One figure of a peer: for the full names from its key on, up to that one. */
-    private record Figure(int to, int slots) {}
+    private record RangeSlots(int rangeEnd, int slots) {}
 
     private static final class Peer {
-        boolean known;
+        boolean hasReported;
         /** Whether its figures are in the sums; those of a silent peer are kept, but do not count. */
         boolean counted;
 
         int incarnation;
         int sequence;
-        long heardAt;
-        final NavigableMap<Integer, Figure> figures = new TreeMap<>();
+        long heardAtMicros;
+        final NavigableMap<Integer, RangeSlots> slotsByName = new TreeMap<>();
     }
 
     private final Peer[] peers;
-    private final int me;
-    private final long silence;
+    private final int ownNumber;
+    private final long silenceMicros;
     private final SlotSums sums;
-    private long malformed;
+    private long malformedDatagrams;
     private long unknownWorkers;
     private long visits;
 
@@ -46,88 +46,91 @@
      *
      * @param silence microseconds without a datagram after which what a peer has told counts no more
      */
-    public PeerSlots(int schedulers, int me, long silence, SlotSums sums) {
+    public PeerSlots(int schedulers, int ownNumber, long silenceMicros, SlotSums sums) {
         this.peers = new Peer[schedulers];
-        this.me = me;
-        this.silence = silence;
+        this.ownNumber = ownNumber;
+        this.silenceMicros = silenceMicros;
         this.sums = sums;
     }
 
     /** Enters a datagram; false if it was dropped: malformed, of no peer, or overtaken by a later one. */
     public boolean receive(long now, int from, byte[] message) {
-        SlotSnapshot snapshot = from < 0 || from >= peers.length || from == me ? null : SlotSnapshot.read(message);
+        SlotSnapshot snapshot =
+                from < 0 || from >= peers.length || from == ownNumber ? null : SlotSnapshot.read(message);
         if (snapshot == null) {
-            malformed++;
+            malformedDatagrams++;
             return false;
         }
         if (peers[from] == null) {
             peers[from] = new Peer();
         }
         Peer peer = peers[from];
-        if (!inOrder(now, peer, snapshot)) {
+        if (!isNewer(now, peer, snapshot)) {
             return false;
         }
-        if (peer.known && peer.incarnation != snapshot.incarnation()) {
-            count(peer, false);
-            peer.figures.clear();
+        if (peer.hasReported && peer.incarnation != snapshot.incarnation()) {
+            setCounted(peer, false);
+            peer.slotsByName.clear();
         }
-        count(peer, true);
-        peer.known = true;
+        setCounted(peer, true);
+        peer.hasReported = true;
         peer.incarnation = snapshot.incarnation();
         peer.sequence = snapshot.sequence();
-        peer.heardAt = now;
-        replace(peer, snapshot);
+        peer.heardAtMicros = now;
+        replaceRange(peer, snapshot);
         return true;
     }
 
     /** Whether the datagram is later than all before. One of a silent peer always is: its clock may have been set back. */
-    private boolean inOrder(long now, Peer peer, SlotSnapshot snapshot) {
-        if (!peer.known || isSilent(now, peer)) {
+    private boolean isNewer(long now, Peer peer, SlotSnapshot snapshot) {
+        if (!peer.hasReported || isSilent(now, peer)) {
             return true;
         }
-        int life = snapshot.incarnation() - peer.incarnation;
-        return life > 0 || life == 0 && (short) (snapshot.sequence() - peer.sequence) > 0;
+        int incarnationDifference = snapshot.incarnation() - peer.incarnation;
+        return incarnationDifference > 0
+                || incarnationDifference == 0 && (short) (snapshot.sequence() - peer.sequence) > 0;
     }
 
-    private void replace(Peer peer, SlotSnapshot snapshot) {
-        NavigableMap<Integer, Figure> covered = peer.figures.subMap(snapshot.from(), true, snapshot.to(), false);
-        Map<Integer, Figure> before = new TreeMap<>(covered);
+    private void replaceRange(Peer peer, SlotSnapshot snapshot) {
+        NavigableMap<Integer, RangeSlots> covered =
+                peer.slotsByName.subMap(snapshot.from(), true, snapshot.to(), false);
+        Map<Integer, RangeSlots> dropped = new TreeMap<>(covered);
         covered.clear();
-        int span = SlotSnapshot.span(snapshot.width());
+        int span = SlotSnapshot.namesPerPrefix(snapshot.nameBits());
         for (SlotSnapshot.Entry entry : snapshot.entries()) {
             visits++;
-            Figure after = new Figure(entry.name() + span, entry.slots());
-            Figure same = before.get(entry.name());
-            if (same != null && same.to == after.to) {
-                before.remove(entry.name());
-                keep(peer, entry.name(), after, after.slots - same.slots);
+            RangeSlots updated = new RangeSlots(entry.name() + span, entry.slots());
+            RangeSlots previous = dropped.get(entry.name());
+            if (previous != null && previous.rangeEnd == updated.rangeEnd) {
+                dropped.remove(entry.name());
+                store(peer, entry.name(), updated, updated.slots - previous.slots);
             } else {
-                keep(peer, entry.name(), after, after.slots);
+                store(peer, entry.name(), updated, updated.slots);
             }
         }
-        before.forEach((name, figure) -> {
+        dropped.forEach((name, old) -> {
             visits++;
-            sums.add(name, figure.to, -figure.slots);
+            sums.add(name, old.rangeEnd, -old.slots);
         });
     }
 
-    private void keep(Peer peer, int name, Figure figure, int difference) {
-        if (sums.add(name, figure.to, difference)) {
-            peer.figures.put(name, figure);
+    private void store(Peer peer, int name, RangeSlots rangeSlots, int difference) {
+        if (sums.add(name, rangeSlots.rangeEnd, difference)) {
+            peer.slotsByName.put(name, rangeSlots);
         } else {
             unknownWorkers++;
         }
     }
 
     /** Puts the figures of a peer into the sums, or takes them back. */
-    private void count(Peer peer, boolean counted) {
+    private void setCounted(Peer peer, boolean counted) {
         if (peer.counted == counted) {
             return;
         }
         peer.counted = counted;
-        peer.figures.forEach((name, figure) -> {
+        peer.slotsByName.forEach((name, rangeSlots) -> {
             visits++;
-            sums.add(name, figure.to, counted ? figure.slots : -figure.slots);
+            sums.add(name, rangeSlots.rangeEnd, counted ? rangeSlots.slots : -rangeSlots.slots);
         });
     }
 
@@ -135,13 +138,13 @@
     public void expireSilentPeers(long now) {
         for (Peer peer : peers) {
             if (peer != null && peer.counted && isSilent(now, peer)) {
-                count(peer, false);
+                setCounted(peer, false);
             }
         }
     }
 
     private boolean isSilent(long now, Peer peer) {
-        return now - peer.heardAt > silence;
+        return now - peer.heardAtMicros > silenceMicros;
     }
 
     /** Whether nothing has been heard of a scheduler for a while. */
@@ -162,14 +165,14 @@
     public int figureCount() {
         int sum = 0;
         for (Peer peer : peers) {
-            sum += peer == null ? 0 : peer.figures.size();
+            sum += peer == null ? 0 : peer.slotsByName.size();
         }
         return sum;
     }
 
     /** Datagrams dropped since they are of no form or no peer that is known here. */
     public long malformedDatagrams() {
-        return malformed;
+        return malformedDatagrams;
     }
 
     /** Figures dropped since no worker of that name is known here. */
--- a/src/main/java/barrowshore/exchange/SlotSnapshot.java
+++ b/src/main/java/barrowshore/exchange/SlotSnapshot.java
@@ -19,25 +19,25 @@
  *
  * @param incarnation orders the lives of one sender: a later start has a higher one, in serial arithmetic
  * @param sequence orders the datagrams of one life, 16 bits in serial arithmetic
- * @param width how many bits the names here have; a name stands for all workers whose full names begin with it
+ * @param nameBits how many bits the names here have; a name stands for all workers whose full names begin with it
  * @param from the first full name that is covered
  * @param to the full name after the last one that is covered
  * @param entries in ascending order of names, none with zero slots
  */
-public record SlotSnapshot(int incarnation, int sequence, int width, int from, int to, List<Entry> entries) {
+public record SlotSnapshot(int incarnation, int sequence, int nameBits, int from, int to, List<Entry> entries) {
     /** The longest datagram in bytes (protocol page), without heads. */
     public static final int MAX_BYTES = 256;
     /** Bits of a full name. */
-    public static final int FULL_WIDTH = 30;
+    public static final int FULL_NAME_BITS = 30;
     /** The name after the last. */
-    public static final int NAMES_END = 1 << FULL_WIDTH;
+    public static final int NAME_LIMIT = 1 << FULL_NAME_BITS;
 
-    static final int MIN_WIDTH = 12;
-    private static final byte FORMAT_WHOLE = 4, FORMAT_PART = 5;
-    private static final int HEAD_BYTES = 9;
-    private static final int MAX_SLOTS = 255;
+    static final int MIN_NAME_BITS = 12;
+    private static final byte FORMAT_ALL_NAMES = 4, FORMAT_NAME_RANGE = 5;
+    private static final int FIXED_HEADER_BYTES = 9;
+    private static final int MAX_BYTE_VALUE = 255;
     /** Datagrams of the earlier version: a head, and entries of this many bytes. */
-    private static final int EARLIER_HEAD_BYTES = 5, EARLIER_ENTRY_BYTES = 5;
+    private static final int OLD_FORMAT_HEADER_BYTES = 5, OLD_FORMAT_ENTRY_BYTES = 5;
 
     /**
      * The slots at the workers of one name.
@@ -50,45 +50,45 @@
     public static int nameOf(String workerId) {
         CRC32 checksum = new CRC32();
         checksum.update(workerId.getBytes(StandardCharsets.UTF_8));
-        return (int) (checksum.getValue() >>> (Integer.SIZE - FULL_WIDTH));
+        return (int) (checksum.getValue() >>> (Integer.SIZE - FULL_NAME_BITS));
     }
 
     /** The width at which two of so many workers share a name about once in 500 fleets. */
-    public static int widthFor(int workers) {
+    public static int nameBitsFor(int workers) {
         int bits = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, workers));
-        return Math.min(FULL_WIDTH, Math.max(MIN_WIDTH, 2 * bits + 6));
+        return Math.min(FULL_NAME_BITS, Math.max(MIN_NAME_BITS, 2 * bits + 6));
     }
 
     /** How many full names one name of that width stands for. */
-    public static int span(int width) {
-        return 1 << (FULL_WIDTH - width);
+    public static int namesPerPrefix(int nameBits) {
+        return 1 << (FULL_NAME_BITS - nameBits);
     }
 
     /** The full name with the bits beyond the width cleared. */
-    static int shortened(int name, int width) {
-        return name & -span(width);
+    static int truncate(int name, int nameBits) {
+        return name & -namesPerPrefix(nameBits);
     }
 
-    private boolean whole() {
-        return from == 0 && to == NAMES_END;
+    private boolean coversAllNames() {
+        return from == 0 && to == NAME_LIMIT;
     }
 
     /** Writes datagrams entry by entry, so that the sender sees what still fits. */
     static final class Writer {
         private final ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
-        private final int width;
+        private final int nameBits;
         private final int from;
         private final List<Entry> entries = new ArrayList<>();
         /** The name before the next, in units of the width. */
-        private int previous;
+        private int previousPrefix;
 
         /** A datagram of at most so many bytes that covers the names from there on. */
-        Writer(int width, int from, int maxBytes) {
+        Writer(int nameBits, int from, int maxBytes) {
             out.limit(maxBytes);
-            this.width = width;
+            this.nameBits = nameBits;
             this.from = from;
-            this.previous = from / span(width);
-            out.position(HEAD_BYTES + 2 * maxVarintBytes(width));
+            this.previousPrefix = from / namesPerPrefix(nameBits);
+            out.position(FIXED_HEADER_BYTES + 2 * maxVarintBytes(nameBits));
         }
 
         private static int maxVarintBytes(int bits) {
@@ -97,46 +97,46 @@
 
         /** Adds an entry at the shortened name; false if it does not fit any more. */
         boolean add(int name, int slots) {
-            int room = maxVarintBytes(width + 1) + 1;
-            if (out.remaining() <= room || entries.size() == MAX_SLOTS) {
+            int maxEntryBytes = maxVarintBytes(nameBits + 1) + 1;
+            if (out.remaining() <= maxEntryBytes || entries.size() == MAX_BYTE_VALUE) {
                 return false;
             }
-            int position = name / span(width);
-            boolean many = slots > 1;
-            putVarint(out, (position - previous) * 2L + (many ? 1 : 0));
-            if (many) {
-                out.put((byte) Math.min(MAX_SLOTS, slots));
+            int prefix = name / namesPerPrefix(nameBits);
+            boolean hasSlotsByte = slots > 1;
+            putVarint(out, (prefix - previousPrefix) * 2L + (hasSlotsByte ? 1 : 0));
+            if (hasSlotsByte) {
+                out.put((byte) Math.min(MAX_BYTE_VALUE, slots));
             }
-            previous = position;
-            entries.add(new Entry(name, Math.min(MAX_SLOTS, slots)));
+            previousPrefix = prefix;
+            entries.add(new Entry(name, Math.min(MAX_BYTE_VALUE, slots)));
             return true;
         }
 
         /** The datagram, covering the names up to there. */
         byte[] finish(int incarnation, int sequence, int to) {
-            SlotSnapshot snapshot = new SlotSnapshot(incarnation, sequence, width, from, to, entries);
-            int start = HEAD_BYTES + 2 * maxVarintBytes(width), end = out.position();
-            ByteBuffer whole = ByteBuffer.allocate(MAX_BYTES);
-            whole.put(snapshot.whole() ? FORMAT_WHOLE : FORMAT_PART);
-            whole.putInt(incarnation).putShort((short) sequence);
-            whole.put((byte) width).put((byte) entries.size());
-            if (!snapshot.whole()) {
-                putVarint(whole, from / span(width));
-                putVarint(whole, to / span(width));
+            SlotSnapshot snapshot = new SlotSnapshot(incarnation, sequence, nameBits, from, to, entries);
+            int entriesStart = FIXED_HEADER_BYTES + 2 * maxVarintBytes(nameBits), entriesEnd = out.position();
+            ByteBuffer datagram = ByteBuffer.allocate(MAX_BYTES);
+            datagram.put(snapshot.coversAllNames() ? FORMAT_ALL_NAMES : FORMAT_NAME_RANGE);
+            datagram.putInt(incarnation).putShort((short) sequence);
+            datagram.put((byte) nameBits).put((byte) entries.size());
+            if (!snapshot.coversAllNames()) {
+                putVarint(datagram, from / namesPerPrefix(nameBits));
+                putVarint(datagram, to / namesPerPrefix(nameBits));
             }
-            whole.put(out.array(), start, end - start);
-            if ((whole.position() - EARLIER_HEAD_BYTES) % EARLIER_ENTRY_BYTES == 0) {
-                whole.put((byte) 0);
+            datagram.put(out.array(), entriesStart, entriesEnd - entriesStart);
+            if ((datagram.position() - OLD_FORMAT_HEADER_BYTES) % OLD_FORMAT_ENTRY_BYTES == 0) {
+                datagram.put((byte) 0);
             }
-            byte[] message = new byte[whole.position()];
-            whole.flip().get(message);
+            byte[] message = new byte[datagram.position()];
+            datagram.flip().get(message);
             return message;
         }
     }
 
     /** Reads a datagram; null if it is not one of this form. */
     public static SlotSnapshot read(byte[] message) {
-        if (message.length < HEAD_BYTES || message.length > MAX_BYTES) {
+        if (message.length < FIXED_HEADER_BYTES || message.length > MAX_BYTES) {
             return null;
         }
         try {
@@ -150,42 +150,49 @@
         byte format = in.get();
         int incarnation = in.getInt();
         int sequence = in.getShort() & 0xffff;
-        int width = in.get();
-        int count = in.get() & 0xff;
-        if (format != FORMAT_WHOLE && format != FORMAT_PART || width < MIN_WIDTH || width > FULL_WIDTH) {
+        int nameBits = in.get();
+        int entryCount = in.get() & 0xff;
+        if (format != FORMAT_ALL_NAMES && format != FORMAT_NAME_RANGE
+                || nameBits < MIN_NAME_BITS
+                || nameBits > FULL_NAME_BITS) {
             return null;
         }
-        long names = 1L << width;
-        long first = format == FORMAT_PART ? getVarint(in) : 0;
-        long end = format == FORMAT_PART ? getVarint(in) : names;
-        if (first < 0 || first >= end || end > names) {
+        long prefixCount = 1L << nameBits;
+        long firstPrefix = format == FORMAT_NAME_RANGE ? getVarint(in) : 0;
+        long prefixLimit = format == FORMAT_NAME_RANGE ? getVarint(in) : prefixCount;
+        if (firstPrefix < 0 || firstPrefix >= prefixLimit || prefixLimit > prefixCount) {
             return null;
         }
-        List<Entry> entries = new ArrayList<>(count);
-        long position = first;
-        for (int k = 0; k < count; k++) {
+        List<Entry> entries = new ArrayList<>(entryCount);
+        long prefix = firstPrefix;
+        for (int k = 0; k < entryCount; k++) {
             long coded = getVarint(in);
-            position += coded >>> 1;
+            prefix += coded >>> 1;
             int slots = (coded & 1) == 0 ? 1 : in.get() & 0xff;
-            if (coded < 0 || position >= end || slots == 0) {
+            if (coded < 0 || prefix >= prefixLimit || slots == 0) {
                 return null;
             }
-            entries.add(new Entry((int) (position * span(width)), slots));
+            entries.add(new Entry((int) (prefix * namesPerPrefix(nameBits)), slots));
         }
         if (in.remaining() > 1) {
             return null;
         }
         return new SlotSnapshot(
-                incarnation, sequence, width, (int) (first * span(width)), (int) (end * span(width)), entries);
+                incarnation,
+                sequence,
+                nameBits,
+                (int) (firstPrefix * namesPerPrefix(nameBits)),
+                (int) (prefixLimit * namesPerPrefix(nameBits)),
+                entries);
     }
 
     private static void putVarint(ByteBuffer out, long value) {
-        long rest = value;
-        while (rest > 0x7f) {
-            out.put((byte) (rest & 0x7f | 0x80));
-            rest >>>= 7;
+        long remaining = value;
+        while (remaining > 0x7f) {
+            out.put((byte) (remaining & 0x7f | 0x80));
+            remaining >>>= 7;
         }
-        out.put((byte) rest);
+        out.put((byte) remaining);
     }
 
     /** A varint of at most five bytes; -1 if it is longer. */
--- a/src/main/java/barrowshore/list/ServerList.java
+++ b/src/main/java/barrowshore/list/ServerList.java
@@ -54,8 +54,8 @@
      */
     public record Update(long revision, boolean full, List<Entry> entries, List<String> unknownServers) {
         /** A list from which nothing was left out. */
-        public Update(long rev, boolean all, List<Entry> entries) {
-            this(rev, all, entries, List.of());
+        public Update(long revision, boolean full, List<Entry> entries) {
+            this(revision, full, entries, List.of());
         }
 
         /** The whole list that changes make of this whole one. */
@@ -80,13 +80,13 @@
         List<Entry> entries = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
         for (Object target : targets) {
-            if (!(target instanceof Map<?, ?> t)
-                    || !(t.get("uid") instanceof String uid)
-                    || !(t.get("state") instanceof String state)) {
+            if (!(target instanceof Map<?, ?> fields)
+                    || !(fields.get("uid") instanceof String uid)
+                    || !(fields.get("state") instanceof String state)) {
                 throw new IllegalArgumentException("a target lacks its uid or state");
             }
-            String endpoint = t.get("endpoint") instanceof String s ? s : "";
-            int kind = names.kinds().indexOf(SettingsReader.normalizeName(t.get("model")));
+            String endpoint = fields.get("endpoint") instanceof String s ? s : "";
+            int kind = names.kinds().indexOf(SettingsReader.normalizeName(fields.get("model")));
             if (kind < 0 && !names.kinds().isEmpty() && state.equals("Ready")) {
                 unknown.add(uid); // guards the module against a kind that its settings do not name
                 continue;
@@ -95,21 +95,21 @@
                     uid,
                     endpoint,
                     endpoint.isEmpty() ? null : Json.parseAddress(endpoint, "endpoint"),
-                    names.zones().indexOf(SettingsReader.normalizeName(t.get("az"))),
+                    names.zones().indexOf(SettingsReader.normalizeName(fields.get("az"))),
                     Math.max(0, kind),
-                    (int) number(t.get("pod_group"), 0),
+                    (int) numberOr(fields.get("pod_group"), 0),
                     switch (state) {
                         case "Ready" -> State.READY;
                         case "Gone" -> State.GONE;
                         default -> State.TERMINATING; // the careful reading of a word not known
                     },
-                    number(t.get("capacity_hint"), 1),
-                    (long) number(t.get("boot_ms"), 0) * 1000));
+                    numberOr(fields.get("capacity_hint"), 1),
+                    (long) numberOr(fields.get("boot_ms"), 0) * 1000));
         }
-        return new Update((long) number(json.get("rev"), 0), Boolean.TRUE.equals(json.get("all")), entries, unknown);
+        return new Update((long) numberOr(json.get("rev"), 0), Boolean.TRUE.equals(json.get("all")), entries, unknown);
     }
 
-    private static double number(Object value, double otherwise) {
-        return value instanceof Number n ? n.doubleValue() : otherwise;
+    private static double numberOr(Object value, double defaultValue) {
+        return value instanceof Number n ? n.doubleValue() : defaultValue;
     }
 }
--- a/src/main/java/barrowshore/list/ServerListChangePolicy.java
+++ b/src/main/java/barrowshore/list/ServerListChangePolicy.java
@@ -27,7 +27,7 @@
     private ServerListChangePolicy() {}
 
     /** Judges a file against the one in use (null: none). mostLost: the share of capacity that may go at once. */
-    public static Decision check(OperatorServerList inUse, OperatorServerList next, double mostLost) {
+    public static Decision check(OperatorServerList inUse, OperatorServerList next, double maxLostShare) {
         if (inUse == null) {
             return next.servers().isEmpty() && !next.force()
                     ? new Decision(Outcome.HELD, "it names no server; force=\"true\" in a later revision confirms it")
@@ -49,47 +49,48 @@
         if (next.force()) {
             return new Decision(Outcome.TAKEN, "forced");
         }
-        Map<String, Double> had = capacity(inUse.servers().values()),
-                has = capacity(next.servers().values());
-        double before = had.values().stream().mapToDouble(w -> w).sum();
-        double lost = 0;
+        Map<String, Double> oldCapacityByHall = capacityByHall(inUse.servers().values()),
+                newCapacityByHall = capacityByHall(next.servers().values());
+        double oldCapacity =
+                oldCapacityByHall.values().stream().mapToDouble(w -> w).sum();
+        double lostCapacity = 0;
         for (Server s : inUse.servers().values()) {
-            Server now = next.servers().get(s.uid());
-            lost += Math.max(0, weight(s) - (now == null ? 0 : weight(now)));
+            Server nextServer = next.servers().get(s.uid());
+            lostCapacity += Math.max(0, usableCapacity(s) - (nextServer == null ? 0 : usableCapacity(nextServer)));
         }
-        if (has.isEmpty()) {
+        if (newCapacityByHall.isEmpty()) {
             return new Decision(
                     Outcome.HELD, "it leaves no server in use; force=\"true\" in a later revision confirms it");
         }
-        for (String hall : had.keySet()) {
-            if (!has.containsKey(hall)) {
+        for (String hall : oldCapacityByHall.keySet()) {
+            if (!newCapacityByHall.containsKey(hall)) {
                 return new Decision(
                         Outcome.HELD,
                         "it leaves hall " + hall + " empty; force=\"true\" in a later revision confirms it");
             }
         }
-        if (before > 0 && lost / before > mostLost) {
+        if (oldCapacity > 0 && lostCapacity / oldCapacity > maxLostShare) {
             return new Decision(
                     Outcome.HELD,
                     String.format(
                             Locale.ROOT,
                             "it takes %.0f%% of the capacity away, over %.0f%%;"
                                     + " force=\"true\" in a later revision confirms it",
-                            100 * lost / before,
-                            100 * mostLost));
+                            100 * lostCapacity / oldCapacity,
+                            100 * maxLostShare));
         }
         return new Decision(Outcome.TAKEN, "");
     }
 
-    private static double weight(Server s) {
+    private static double usableCapacity(Server s) {
         return s.drains() ? 0 : s.weight();
     }
 
-    private static Map<String, Double> capacity(Collection<Server> servers) {
+    private static Map<String, Double> capacityByHall(Collection<Server> servers) {
         Map<String, Double> byHall = new HashMap<>();
         for (Server s : servers) {
-            if (weight(s) > 0) {
-                byHall.merge(s.hall(), weight(s), Double::sum);
+            if (usableCapacity(s) > 0) {
+                byHall.merge(s.hall(), usableCapacity(s), Double::sum);
             }
         }
         return byHall;
@@ -99,11 +100,11 @@
     public static List<String> diff(OperatorServerList from, OperatorServerList to) {
         List<String> lines = new ArrayList<>();
         for (Server s : to.servers().values()) {
-            Server was = from.servers().get(s.uid());
-            if (was == null) {
+            Server old = from.servers().get(s.uid());
+            if (old == null) {
                 lines.add("+ " + s.uid() + " " + describe(s));
-            } else if (!was.same(s)) {
-                lines.add("~ " + s.uid() + " " + describe(was) + " -> " + describe(s));
+            } else if (!old.same(s)) {
+                lines.add("~ " + s.uid() + " " + describe(old) + " -> " + describe(s));
             }
         }
         for (Server s : from.servers().values()) {
--- a/src/main/java/barrowshore/list/ServerListMerger.java
+++ b/src/main/java/barrowshore/list/ServerListMerger.java
@@ -27,16 +27,16 @@
     /** What one source has said, and until when what it gave up still drains there. */
     private static final class Source {
         final int rank;
-        long grace;
-        long rev;
-        long heardAt;
+        long graceMicros;
+        long revision;
+        long heardAtMicros;
         Map<String, Entry> entries = new LinkedHashMap<>();
-        final Map<String, Long> givenUp = new HashMap<>();
-        final Map<String, Entry> last = new HashMap<>();
+        final Map<String, Long> drainEndMicrosByUid = new HashMap<>();
+        final Map<String, Entry> drainingEntriesByUid = new HashMap<>();
 
-        Source(int rank, long grace) {
+        Source(int rank, long graceMicros) {
             this.rank = rank;
-            this.grace = grace;
+            this.graceMicros = graceMicros;
         }
     }
 
@@ -44,58 +44,58 @@
     public record SourceStatus(String source, int rank, long rev, int servers, long heardAt) {}
 
     private final Map<String, Source> sources = new LinkedHashMap<>();
-    private Map<String, Entry> told = new LinkedHashMap<>();
-    private long rev;
+    private Map<String, Entry> publishedEntries = new LinkedHashMap<>();
+    private long revision;
 
     /**
      * Makes a source known. rank: the lower, the more its word counts; grace: how long what it gives up drains before it
      * is gone, microseconds.
      */
-    public void addSource(String name, int rank, long grace) {
-        if (sources.putIfAbsent(name, new Source(rank, grace)) != null) {
+    public void addSource(String name, int rank, long graceMicros) {
+        if (sources.putIfAbsent(name, new Source(rank, graceMicros)) != null) {
             throw new IllegalArgumentException("source " + name + " is there already");
         }
     }
 
     /** From now on what a source gives up drains for so long. */
-    public void setGrace(String name, long grace) {
-        known(name).grace = grace;
+    public void setGrace(String name, long graceMicros) {
+        requireSource(name).graceMicros = graceMicros;
     }
 
     /** A source has said this: all of its list, or what changed in it. Returns what changes for the module. */
     public Update apply(long now, String name, Update update) {
-        Source s = known(name);
-        s.rev = update.revision();
-        s.heardAt = now;
+        Source s = requireSource(name);
+        s.revision = update.revision();
+        s.heardAtMicros = now;
         Map<String, Entry> next = update.full() ? new LinkedHashMap<>() : new LinkedHashMap<>(s.entries);
         for (Entry e : update.entries()) {
             if (e.state() == State.GONE) {
                 next.remove(e.uid());
-                s.givenUp.remove(e.uid()); // its own word: gone at once, not after a grace
-                s.last.remove(e.uid());
+                s.drainEndMicrosByUid.remove(e.uid()); // its own word: gone at once, not after a grace
+                s.drainingEntriesByUid.remove(e.uid());
                 s.entries.remove(e.uid());
             } else {
                 next.put(e.uid(), e);
-                s.givenUp.remove(e.uid()); // it is back within its grace
+                s.drainEndMicrosByUid.remove(e.uid()); // it is back within its grace
             }
         }
         for (Entry e : s.entries.values()) {
             if (!next.containsKey(e.uid())) {
-                s.givenUp.putIfAbsent(e.uid(), now + s.grace);
-                s.last.put(e.uid(), e);
+                s.drainEndMicrosByUid.putIfAbsent(e.uid(), now + s.graceMicros);
+                s.drainingEntriesByUid.put(e.uid(), e);
             }
         }
         s.entries = next;
-        return changes(now);
+        return publishChanges(now);
     }
 
     /** A source is no more: all that it named drains for its grace. */
     public Update withdraw(long now, String name) {
-        Source s = known(name);
-        return apply(now, name, new Update(s.rev, true, List.of()));
+        Source s = requireSource(name);
+        return apply(now, name, new Update(s.revision, true, List.of()));
     }
 
-    private Source known(String name) {
+    private Source requireSource(String name) {
         Source s = sources.get(name);
         if (s == null) {
             throw new IllegalArgumentException("source " + name + " is not known");
@@ -105,13 +105,13 @@
 
     /** What has changed since because time has passed: graces that are over. */
     public Update expireGraces(long now) {
-        return changes(now);
+        return publishChanges(now);
     }
 
     /** When {@link #expireGraces} will have something to say; Long.MAX_VALUE: not before a source says something. */
     public long nextExpiry() {
         return sources.values().stream()
-                .flatMap(s -> s.givenUp.values().stream())
+                .flatMap(s -> s.drainEndMicrosByUid.values().stream())
                 .mapToLong(t -> t)
                 .min()
                 .orElse(Long.MAX_VALUE);
@@ -119,53 +119,56 @@
 
     /** The list as it was told last, whole. */
     public Update currentList() {
-        return new Update(rev, true, List.copyOf(told.values()));
+        return new Update(revision, true, List.copyOf(publishedEntries.values()));
     }
 
     /** How the sources stand. */
     public List<SourceStatus> standings() {
         List<SourceStatus> all = new ArrayList<>();
-        sources.forEach((name, s) -> all.add(new SourceStatus(name, s.rank, s.rev, s.entries.size(), s.heardAt)));
+        sources.forEach(
+                (name, s) -> all.add(new SourceStatus(name, s.rank, s.revision, s.entries.size(), s.heardAtMicros)));
         return all;
     }
 
-    private Update changes(long now) {
-        Map<String, Entry> next = merged(now);
-        Update diff = diff(++rev, told, next);
-        told = next;
+    private Update publishChanges(long now) {
+        Map<String, Entry> next = mergeSources(now);
+        Update diff = diff(++revision, publishedEntries, next);
+        publishedEntries = next;
         return diff;
     }
 
-    private Map<String, Entry> merged(long now) {
-        Map<String, Entry> best = new LinkedHashMap<>();
-        Map<String, Integer> ranks = new HashMap<>();
-        Set<String> drains = new LinkedHashSet<>();
+    private Map<String, Entry> mergeSources(long now) {
+        Map<String, Entry> bestEntries = new LinkedHashMap<>();
+        Map<String, Integer> bestRanks = new HashMap<>();
+        Set<String> drainingUids = new LinkedHashSet<>();
         for (Source s : sources.values()) {
-            s.givenUp.entrySet().removeIf(e -> e.getValue() <= now && s.last.remove(e.getKey()) != null);
+            s.drainEndMicrosByUid
+                    .entrySet()
+                    .removeIf(e -> e.getValue() <= now && s.drainingEntriesByUid.remove(e.getKey()) != null);
             for (Entry e : s.entries.values()) {
-                if (s.rank < ranks.getOrDefault(e.uid(), Integer.MAX_VALUE)) {
-                    ranks.put(e.uid(), s.rank);
-                    best.put(e.uid(), e);
+                if (s.rank < bestRanks.getOrDefault(e.uid(), Integer.MAX_VALUE)) {
+                    bestRanks.put(e.uid(), s.rank);
+                    bestEntries.put(e.uid(), e);
                 }
                 if (e.state() == State.TERMINATING) {
-                    drains.add(e.uid());
+                    drainingUids.add(e.uid());
                 }
             }
         }
         // What nobody names any more, but somebody did just now.
         for (Source s : sources.values()) {
-            for (String uid : s.givenUp.keySet()) {
-                if (!ranks.containsKey(uid)) {
-                    best.putIfAbsent(uid, s.last.get(uid));
-                    drains.add(uid);
+            for (String uid : s.drainEndMicrosByUid.keySet()) {
+                if (!bestRanks.containsKey(uid)) {
+                    bestEntries.putIfAbsent(uid, s.drainingEntriesByUid.get(uid));
+                    drainingUids.add(uid);
                 }
             }
         }
-        drains.forEach(uid -> best.computeIfPresent(uid, (u, e) -> draining(e)));
-        return best;
+        drainingUids.forEach(uid -> bestEntries.computeIfPresent(uid, (u, e) -> asDraining(e)));
+        return bestEntries;
     }
 
-    private static Entry draining(Entry e) {
+    private static Entry asDraining(Entry e) {
         return new Entry(
                 e.uid(),
                 e.endpoint(),
@@ -179,7 +182,7 @@
     }
 
     /** What makes the second list of the first; applied to it, it gives the second. */
-    static Update diff(long rev, Map<String, Entry> from, Map<String, Entry> to) {
+    static Update diff(long revision, Map<String, Entry> from, Map<String, Entry> to) {
         List<Entry> changed = new ArrayList<>();
         for (Entry e : to.values()) {
             if (!Objects.equals(from.get(e.uid()), e)) {
@@ -200,6 +203,6 @@
                         e.bootMicros()));
             }
         }
-        return new Update(rev, false, changed);
+        return new Update(revision, false, changed);
     }
 }
--- a/src/main/java/barrowshore/peer/PeerMessenger.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -24,15 +24,15 @@
  */
 public final class PeerMessenger {
     private static final System.Logger LOG = System.getLogger("barrowshore.peer.PeerSide");
-    private static final byte[] ENDING = {0};
+    private static final byte[] ENDING_DATAGRAM = {0};
     /** Milliseconds in which a peer is heard of for sure; after which one that was ending is back. */
-    private static final long HEARD = 2_000;
+    private static final long PEER_ALIVE_MILLIS = 2_000;
 
-    private static final long BACK = 8_000;
+    private static final long ENDING_VALID_MILLIS = 8_000;
     /** Times that our end is told, since datagrams are lost. */
-    private static final int TOLD = 3;
+    private static final int ENDING_REPEATS = 3;
     /** No datagram may be longer. */
-    private static final int MOST = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final Config.PeerConfig addresses;
     private final DatagramChannel channel;
@@ -40,9 +40,9 @@
     private final BiConsumer<Integer, byte[]> listener;
     private final Clock clock;
     /** When each peer was heard last, and when it said that it is ending. */
-    private final Map<Integer, Long> heardAt = new HashMap<>();
+    private final Map<Integer, Long> heardAtMicros = new HashMap<>();
 
-    private final Map<Integer, Long> endingAt = new HashMap<>();
+    private final Map<Integer, Long> endingAtMicros = new HashMap<>();
 
     /** What we tell nobody, because another process speaks for us: one not yet in service, or one that has been followed. */
     private boolean quiet;
@@ -50,7 +50,7 @@
     /** Hears and speaks at the address; shared: another process of ours may be there too. */
     public PeerMessenger(
             Config.PeerConfig addresses,
-            boolean shared,
+            boolean sharedAddress,
             Executor pool,
             Clock clock,
             BiConsumer<Integer, byte[]> listener)
@@ -61,7 +61,7 @@
         this.mailbox = new Mailbox("the peers", pool);
         this.channel = DatagramChannel.open();
         try {
-            if (shared) {
+            if (sharedAddress) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
             channel.bind(addresses.listen());
@@ -69,14 +69,14 @@
             channel.close();
             throw new ConfigException("peer_listen: cannot listen on " + addresses.listen() + ": " + e.getMessage());
         }
-        Thread receiver = new Thread(this::receive, "peers");
+        Thread receiver = new Thread(this::receiveLoop, "peers");
         receiver.setDaemon(true);
         receiver.start();
     }
 
     /** Tells all peers; what cannot be sent is lost, as it may be on its way. */
     public void broadcast(byte[] message) {
-        if (message.length > MOST) {
+        if (message.length > MAX_DATAGRAM_BYTES) {
             LOG.log(Level.ERROR, "a message of {0} bytes to the peers is not sent", message.length);
             return;
         }
@@ -93,44 +93,45 @@
     }
 
     /** Whether another process speaks for us: two at once would take back one another's figures. */
-    public void setQuiet(boolean now) {
-        mailbox.post(() -> quiet = now);
+    public void setQuiet(boolean enabled) {
+        mailbox.post(() -> quiet = enabled);
     }
 
     /** Tells the others that we are ending, and the asker whether one of them can take our clients. */
     public void announceEnd(Consumer<Boolean> othersServe) {
-        for (int k = 0; k < TOLD; k++) {
-            broadcast(ENDING);
+        for (int k = 0; k < ENDING_REPEATS; k++) {
+            broadcast(ENDING_DATAGRAM);
         }
         mailbox.post(() -> {
             long now = clock.micros();
-            othersServe.accept(heardAt.entrySet().stream()
+            othersServe.accept(heardAtMicros.entrySet().stream()
                     .anyMatch(peer -> peer.getKey() != addresses.ownNumber()
-                            && now - peer.getValue() <= HEARD * 1000
-                            && now - endingAt.getOrDefault(peer.getKey(), Long.MIN_VALUE / 2) > BACK * 1000));
+                            && now - peer.getValue() <= PEER_ALIVE_MILLIS * 1000
+                            && now - endingAtMicros.getOrDefault(peer.getKey(), Long.MIN_VALUE / 2)
+                                    > ENDING_VALID_MILLIS * 1000));
         });
     }
 
-    private void heard(int from, byte[] message) {
-        heardAt.put(from, clock.micros());
-        if (message.length == ENDING.length) {
-            endingAt.put(from, clock.micros());
+    private void handleDatagram(int peer, byte[] message) {
+        heardAtMicros.put(peer, clock.micros());
+        if (message.length == ENDING_DATAGRAM.length) {
+            endingAtMicros.put(peer, clock.micros());
         } else {
-            listener.accept(from, message);
+            listener.accept(peer, message);
         }
     }
 
-    private void receive() {
-        ByteBuffer in = ByteBuffer.allocate(MOST + 1);
+    private void receiveLoop() {
+        ByteBuffer in = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
         while (channel.isOpen()) {
             try {
                 in.clear();
-                int from = addresses.peers().indexOf(channel.receive(in));
+                int peer = addresses.peers().indexOf(channel.receive(in));
                 in.flip();
-                if (from >= 0 && in.remaining() <= MOST) {
+                if (peer >= 0 && in.remaining() <= MAX_DATAGRAM_BYTES) {
                     byte[] message = new byte[in.remaining()];
                     in.get(message);
-                    mailbox.post(() -> heard(from, message));
+                    mailbox.post(() -> handleDatagram(peer, message));
                 }
             } catch (ClosedChannelException e) {
                 return;
--- a/src/main/java/barrowshore/status/SchedulerCounters.java
+++ b/src/main/java/barrowshore/status/SchedulerCounters.java
@@ -15,40 +15,42 @@
         BAD_GATEWAY
     }
 
-    private final List<String> names = new ArrayList<>();
-    private final List<long[]> ends = new ArrayList<>();
-    private long tries;
-    private long loads;
-    private long loadErrors;
+    private final List<String> classNames = new ArrayList<>();
+    private final List<long[]> outcomeCountsByClass = new ArrayList<>();
+    private long attempts;
+    private long reloads;
+    private long failedReloads;
 
     /** The classes by their numbers; one that is new starts at 0, one that is known goes on. */
-    public void setClasses(List<String> now) {
-        for (int k = names.size(); k < now.size(); k++) {
-            names.add(now.get(k));
-            ends.add(new long[Outcome.values().length]);
+    public void setClasses(List<String> updatedNames) {
+        for (int k = classNames.size(); k < updatedNames.size(); k++) {
+            classNames.add(updatedNames.get(k));
+            outcomeCountsByClass.add(new long[Outcome.values().length]);
         }
     }
 
-    public void countOutcome(int jobClass, Outcome end) {
-        ends.get(jobClass)[end.ordinal()]++;
+    public void countOutcome(int jobClass, Outcome outcome) {
+        outcomeCountsByClass.get(jobClass)[outcome.ordinal()]++;
     }
 
     public void countAttempt() {
-        tries++;
+        attempts++;
     }
 
     /** A file was read at SIGHUP. */
-    public void countReload(boolean taken) {
-        loads += taken ? 1 : 0;
-        loadErrors += taken ? 0 : 1;
+    public void countReload(boolean accepted) {
+        reloads += accepted ? 1 : 0;
+        failedReloads += accepted ? 0 : 1;
     }
 
-    public SchedulerMetrics snapshot(boolean ready, int inProgress, int known, int skipped) {
-        List<SchedulerMetrics.ClassCounts> classes = new ArrayList<>(names.size());
-        for (int k = 0; k < names.size(); k++) {
-            long[] of = ends.get(k);
-            classes.add(new SchedulerMetrics.ClassCounts(names.get(k), of[0], of[1], of[2]));
+    public SchedulerMetrics snapshot(boolean ready, int inProgress, int knownWorkers, int skippedWorkers) {
+        List<SchedulerMetrics.ClassCounts> classes = new ArrayList<>(classNames.size());
+        for (int k = 0; k < classNames.size(); k++) {
+            long[] outcomeCounts = outcomeCountsByClass.get(k);
+            classes.add(new SchedulerMetrics.ClassCounts(
+                    classNames.get(k), outcomeCounts[0], outcomeCounts[1], outcomeCounts[2]));
         }
-        return new SchedulerMetrics(ready, classes, tries, inProgress, known, skipped, loads, loadErrors);
+        return new SchedulerMetrics(
+                ready, classes, attempts, inProgress, knownWorkers, skippedWorkers, reloads, failedReloads);
     }
 }
--- a/src/main/java/barrowshore/status/SchedulerMetrics.java
+++ b/src/main/java/barrowshore/status/SchedulerMetrics.java
@@ -9,12 +9,12 @@
 public record SchedulerMetrics(
         boolean ready,
         List<ClassCounts> classes,
-        long tries,
+        long attempts,
         int inProgress,
         int knownWorkers,
         int skippedWorkers,
-        long loads,
-        long loadErrors) {
+        long reloads,
+        long failedReloads) {
     /** Final answers to jobs of one class since the start. */
     public record ClassCounts(String name, long passed, long dropped, long badGateway) {}
 
@@ -23,19 +23,19 @@
     /** The figures as text, one a line. */
     public String metricLines() {
         StringBuilder out = new StringBuilder(512);
-        classes.forEach(c -> line(out, "passed." + c.name, c.passed));
-        classes.forEach(c -> line(out, "dropped." + c.name, c.dropped));
-        classes.forEach(c -> line(out, "bad_gateway." + c.name, c.badGateway));
-        line(out, "upstream_tries", tries);
-        line(out, "in_progress", inProgress);
-        line(out, "known_workers", knownWorkers);
-        line(out, "skipped_workers", skippedWorkers);
-        line(out, "loads", loads);
-        line(out, "load_errors", loadErrors);
+        classes.forEach(c -> appendMetric(out, "passed." + c.name, c.passed));
+        classes.forEach(c -> appendMetric(out, "dropped." + c.name, c.dropped));
+        classes.forEach(c -> appendMetric(out, "bad_gateway." + c.name, c.badGateway));
+        appendMetric(out, "upstream_tries", attempts);
+        appendMetric(out, "in_progress", inProgress);
+        appendMetric(out, "known_workers", knownWorkers);
+        appendMetric(out, "skipped_workers", skippedWorkers);
+        appendMetric(out, "loads", reloads);
+        appendMetric(out, "load_errors", failedReloads);
         return out.toString();
     }
 
-    private static void line(StringBuilder out, String name, long value) {
+    private static void appendMetric(StringBuilder out, String name, long value) {
         out.append("svc.").append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/barrowshore/upgrade/UpgradeLink.java
+++ b/src/main/java/barrowshore/upgrade/UpgradeLink.java
@@ -28,40 +28,40 @@
     /** What is heard of the other process; called in this actor's mailbox. */
     public interface Listener {
         /** A line from the process before us (else after us). */
-        void lineReceived(boolean before, String line);
+        void lineReceived(boolean fromPredecessor, String line);
 
         /** A process after us has come up and wants to know what we know. */
         void successorConnected();
 
         /** The link has ended, and as good as always its process. */
-        void linkClosed(boolean before);
+        void linkClosed(boolean toPredecessor);
     }
 
-    private final Path file;
+    private final Path socketFile;
     private final Mailbox mailbox;
     private final Listener listener;
     private ServerSocketChannel server;
-    private SocketChannel before;
-    private SocketChannel after;
+    private SocketChannel predecessor;
+    private SocketChannel successor;
 
     /** Looks for a process before us; {@link #start} tells of it, and lets the next one find us. */
-    public UpgradeLink(Path file, Executor pool, Listener listener) {
-        this.file = file;
+    public UpgradeLink(Path socketFile, Executor pool, Listener listener) {
+        this.socketFile = socketFile;
         this.listener = listener;
         this.mailbox = new Mailbox("the twin", pool);
-        this.before = connect();
+        this.predecessor = connectToPredecessor();
     }
 
     /** Whether a process was there before us as we came up. */
     public boolean foundPredecessor() {
-        return before != null;
+        return predecessor != null;
     }
 
-    private SocketChannel connect() {
+    private SocketChannel connectToPredecessor() {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(StandardProtocolFamily.UNIX);
-            channel.connect(UnixDomainSocketAddress.of(file));
+            channel.connect(UnixDomainSocketAddress.of(socketFile));
             return channel;
         } catch (IOException | RuntimeException e) {
             close(channel); // none there, or one that is dead, or no such sockets here
@@ -70,77 +70,77 @@
     }
 
     public void start() {
-        SocketChannel found = before;
-        listen();
-        if (found != null) {
-            read(found, true);
+        SocketChannel existing = predecessor;
+        listenForSuccessor();
+        if (existing != null) {
+            startReader(existing, true);
         }
     }
 
-    private void listen() {
-        ServerSocketChannel fresh = null;
+    private void listenForSuccessor() {
+        ServerSocketChannel newServer = null;
         try {
-            Files.deleteIfExists(file);
-            fresh = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-            fresh.bind(UnixDomainSocketAddress.of(file), 2);
-            server = fresh;
-            ServerSocketChannel listening = fresh;
-            thread("the next process", () -> {
+            Files.deleteIfExists(socketFile);
+            newServer = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+            newServer.bind(UnixDomainSocketAddress.of(socketFile), 2);
+            server = newServer;
+            ServerSocketChannel listening = newServer;
+            startThread("the next process", () -> {
                 while (listening.isOpen()) {
                     SocketChannel channel = listening.accept();
-                    mailbox.post(() -> joined(channel));
+                    mailbox.post(() -> acceptSuccessor(channel));
                 }
             });
         } catch (IOException | RuntimeException e) {
-            close(fresh);
+            close(newServer);
             LOG.log(Level.WARNING, "a new version will not be told what we know: {0}", e.getMessage());
         }
     }
 
-    private void joined(SocketChannel channel) {
-        close(after);
-        after = channel;
-        read(channel, false);
+    private void acceptSuccessor(SocketChannel channel) {
+        close(successor);
+        successor = channel;
+        startReader(channel, false);
         listener.successorConnected();
     }
 
-    private void read(SocketChannel channel, boolean isBefore) {
-        thread(isBefore ? "the process before" : "the process after", () -> {
+    private void startReader(SocketChannel channel, boolean fromPredecessor) {
+        startThread(fromPredecessor ? "the process before" : "the process after", () -> {
             try (BufferedReader in = new BufferedReader(
                     new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
-                    String told = line;
-                    mailbox.post(() -> listener.lineReceived(isBefore, told));
+                    String received = line;
+                    mailbox.post(() -> listener.lineReceived(fromPredecessor, received));
                 }
             } finally {
-                mailbox.post(() -> ended(channel, isBefore));
+                mailbox.post(() -> handleDisconnect(channel, fromPredecessor));
             }
         });
     }
 
-    private void ended(SocketChannel channel, boolean isBefore) {
+    private void handleDisconnect(SocketChannel channel, boolean fromPredecessor) {
         close(channel);
-        if (isBefore && channel == before) {
-            before = null;
+        if (fromPredecessor && channel == predecessor) {
+            predecessor = null;
             listener.linkClosed(true);
-        } else if (channel == after) {
-            after = null;
+        } else if (channel == successor) {
+            successor = null;
             // It had put its own socket in the place of ours; the next one is to find us again.
             close(server);
-            listen();
+            listenForSuccessor();
             listener.linkClosed(false);
         }
     }
 
     /** Tells the other process: the one before us, or the one after. What cannot be told is lost with the link. */
-    public void send(boolean toBefore, String line) {
+    public void send(boolean toPredecessor, String line) {
         mailbox.post(() -> {
-            SocketChannel to = toBefore ? before : after;
-            if (to != null) {
+            SocketChannel target = toPredecessor ? predecessor : successor;
+            if (target != null) {
                 try {
                     ByteBuffer bytes = ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8));
                     while (bytes.hasRemaining()) {
-                        to.write(bytes);
+                        target.write(bytes);
                     }
                 } catch (IOException e) {
                     LOG.log(Level.DEBUG, "the twin is not told", e); // its reader hears of the end
@@ -149,15 +149,15 @@
         });
     }
 
-    private interface Wait {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void thread(String name, Wait wait) {
+    private static void startThread(String name, IoTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        wait.run();
+                        task.run();
                     } catch (IOException e) {
                         LOG.log(Level.DEBUG, name + " is heard no more", e);
                     }
@@ -181,8 +181,8 @@
     public void stop() {
         mailbox.post(() -> {
             close(server);
-            close(before);
-            close(after);
+            close(predecessor);
+            close(successor);
         });
     }
 }
--- a/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
+++ b/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
@@ -21,157 +21,175 @@
  * lost, each figure is right within the stated time after it last changed.
  */
 class ExchangePropertyTest {
-    private static final long SECOND = 1_000_000;
-    private static final long HEARTBEAT = SECOND / 2;
-    private static final long SILENCE = 3 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long HEARTBEAT_MICROS = SECOND_MICROS / 2;
+    private static final long SILENCE_MICROS = 3 * SECOND_MICROS;
     /** How long a job runs: the target's. */
-    private static final double JOB = 11.5 * SECOND;
+    private static final double JOB_MICROS = 11.5 * SECOND_MICROS;
 
-    private static final long STEP = SECOND / 12;
+    private static final long STEP_MICROS = SECOND_MICROS / 12;
     /**
      * Within how many rounds over the whole state each figure is right with all but certainty: 0.3 to the power of 14 is
      * under one in ten million.
      */
-    private static final int ROUNDS = 14;
+    private static final int ROUNDS_UNTIL_CORRECT = 14;
 
-    private static final int[] NAMES =
+    private static final int[] WORKER_NAMES =
             IntStream.range(0, 800).map(w -> SlotSnapshot.nameOf("worker-" + w)).toArray();
 
-    private record Arrival(long at, int to, int from, byte[] message) {}
+    private record DatagramInFlight(long arrivalMicros, int to, int from, byte[] message) {}
 
     /** One scheduler: what it holds, what it tells, and what it has heard. */
-    private static final class Side {
-        final Map<Integer, Integer> holds = new TreeMap<>();
-        final Map<Integer, Integer> sums = new HashMap<>();
+    private static final class Scheduler {
+        final Map<Integer, Integer> slotsByName = new TreeMap<>();
+        final Map<Integer, Integer> peerSlotsByName = new HashMap<>();
         SnapshotSender sender;
-        PeerSlots heard;
-        long pausedUntil;
+        PeerSlots peerSlots;
+        long pausedUntilMicros;
 
-        Side(int count, int me, long now, int workers) {
+        Scheduler(int schedulerCount, int ownNumber, long now, int workers) {
             NavigableMap<Integer, Integer> workersByName = new TreeMap<>();
             for (int w = 0; w < workers; w++) {
-                workersByName.put(name(w), w);
+                workersByName.put(workerName(w), w);
             }
-            sender = new SnapshotSender(count, HEARTBEAT);
+            sender = new SnapshotSender(schedulerCount, HEARTBEAT_MICROS);
             sender.start(now);
-            heard = new PeerSlots(count, me, SILENCE, (from, to, difference) -> {
-                Set<Integer> named = workersByName.subMap(from, to).keySet();
-                named.forEach(name -> sums.merge(name, difference, Integer::sum));
-                return !named.isEmpty();
+            peerSlots = new PeerSlots(schedulerCount, ownNumber, SILENCE_MICROS, (from, to, difference) -> {
+                Set<Integer> matching = workersByName.subMap(from, to).keySet();
+                matching.forEach(name -> peerSlotsByName.merge(name, difference, Integer::sum));
+                return !matching.isEmpty();
             });
         }
 
-        void hold(int name, int slots) {
-            sender.addSlots(name, slots - holds.getOrDefault(name, 0));
-            holds.put(name, slots);
+        void setSlots(int name, int slots) {
+            sender.addSlots(name, slots - slotsByName.getOrDefault(name, 0));
+            slotsByName.put(name, slots);
         }
     }
 
-    private static int name(int worker) {
-        return NAMES[worker];
+    private static int workerName(int worker) {
+        return WORKER_NAMES[worker];
     }
 
     private static final class Fleet {
-        final int count;
-        final int workers;
-        final double loss;
+        final int schedulerCount;
+        final int workerCount;
+        final double lossShare;
         final SplittableRandom random;
-        final List<Side> sides = new ArrayList<>();
-        final PriorityQueue<Arrival> underWay = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        final List<Scheduler> schedulers = new ArrayList<>();
+        final PriorityQueue<DatagramInFlight> inFlight =
+                new PriorityQueue<>((a, b) -> Long.compare(a.arrivalMicros, b.arrivalMicros));
         final Map<Integer, Long> lives = new HashMap<>();
-        long now = 1_700_000_000L * SECOND;
-        long bytes;
+        long nowMicros = 1_700_000_000L * SECOND_MICROS;
+        long bytesPerReceiver;
 
-        Fleet(int count, int workers, double loss, long seed) {
-            this.count = count;
-            this.workers = workers;
-            this.loss = loss;
+        Fleet(int schedulerCount, int workerCount, double lossShare, long seed) {
+            this.schedulerCount = schedulerCount;
+            this.workerCount = workerCount;
+            this.lossShare = lossShare;
             this.random = new SplittableRandom(seed);
-            for (int k = 0; k < count; k++) {
-                sides.add(new Side(count, k, now, workers));
+            for (int k = 0; k < schedulerCount; k++) {
+                schedulers.add(new Scheduler(schedulerCount, k, nowMicros, workerCount));
             }
         }
 
         void restart(int k) {
-            now += 2_000; // a process takes its time to come up
-            sides.set(k, new Side(count, k, now, workers));
+            nowMicros += 2_000; // a process takes its time to come up
+            schedulers.set(k, new Scheduler(schedulerCount, k, nowMicros, workerCount));
         }
 
-        void change(int changes) {
+        void changeSlots(int changes) {
             for (int c = 0; c < changes; c++) {
-                Side side = sides.get(random.nextInt(count));
-                side.hold(name(random.nextInt(workers)), random.nextInt(3) == 0 ? random.nextInt(9) : 0);
+                Scheduler scheduler = schedulers.get(random.nextInt(schedulerCount));
+                scheduler.setSlots(
+                        workerName(random.nextInt(workerCount)), random.nextInt(3) == 0 ? random.nextInt(9) : 0);
             }
         }
 
         /** One step of time: what is due goes out, and what is under way arrives. */
         void step() {
-            now += STEP;
-            for (int k = 0; k < count; k++) {
-                Side side = sides.get(k);
-                byte[] message = now < side.pausedUntil ? null : side.sender.nextDatagram(now, workers, JOB);
-                for (int to = 0; message != null && to < count; to++) {
-                    bytes += to == 0 ? message.length + SnapshotSender.HEADER_BYTES : 0;
+            nowMicros += STEP_MICROS;
+            for (int k = 0; k < schedulerCount; k++) {
+                Scheduler scheduler = schedulers.get(k);
+                byte[] message = nowMicros < scheduler.pausedUntilMicros
+                        ? null
+                        : scheduler.sender.nextDatagram(nowMicros, workerCount, JOB_MICROS);
+                for (int to = 0; message != null && to < schedulerCount; to++) {
+                    bytesPerReceiver += to == 0 ? message.length + SnapshotSender.HEADER_BYTES : 0;
                     send(k, to, message);
                 }
-                side.heard.expireSilentPeers(now);
+                scheduler.peerSlots.expireSilentPeers(nowMicros);
             }
-            while (!underWay.isEmpty() && underWay.peek().at <= now) {
-                Arrival next = underWay.poll();
-                if (now >= sides.get(next.to).pausedUntil) {
-                    sides.get(next.to).heard.receive(now, next.from, next.message);
+            while (!inFlight.isEmpty() && inFlight.peek().arrivalMicros <= nowMicros) {
+                DatagramInFlight next = inFlight.poll();
+                if (nowMicros >= schedulers.get(next.to).pausedUntilMicros) {
+                    schedulers.get(next.to).peerSlots.receive(nowMicros, next.from, next.message);
                 }
             }
         }
 
         private void send(int from, int to, byte[] message) {
-            if (to == from || random.nextDouble() < loss) {
+            if (to == from || random.nextDouble() < lossShare) {
                 return;
             }
-            underWay.add(new Arrival(now + random.nextInt(200_000), to, from, message));
+            inFlight.add(new DatagramInFlight(nowMicros + random.nextInt(200_000), to, from, message));
             if (random.nextInt(5) == 0) {
-                underWay.add(new Arrival(now + random.nextInt(400_000), to, from, message));
+                inFlight.add(new DatagramInFlight(nowMicros + random.nextInt(400_000), to, from, message));
             }
         }
 
         void run(long micros) {
-            for (long until = now + micros; now < until; ) {
+            for (long until = nowMicros + micros; nowMicros < until; ) {
                 step();
             }
         }
 
         /** How long a round over the largest state takes at the budget. */
-        long round() {
-            int most = sides.stream().mapToInt(s -> s.sender.nameCount()).max().orElse(0);
-            double rate =
-                    Math.max(SnapshotSender.LEAST_BYTES_PER_SECOND, SnapshotSender.FLEET_BYTES_PER_SECOND / count);
-            double bytesOfRound =
-                    most * 5.0 * rate * SnapshotSender.PART_SECONDS / (rate * SnapshotSender.PART_SECONDS - 45);
-            return Math.max(HEARTBEAT + STEP, (long) ((bytesOfRound / rate + SnapshotSender.PART_SECONDS) * SECOND));
+        long roundMicros() {
+            int maxNames = schedulers.stream()
+                    .mapToInt(s -> s.sender.nameCount())
+                    .max()
+                    .orElse(0);
+            double rate = Math.max(
+                    SnapshotSender.MIN_BUDGET_BYTES_PER_SECOND,
+                    SnapshotSender.FLEET_BUDGET_BYTES_PER_SECOND / schedulerCount);
+            double roundBytes = maxNames
+                    * 5.0
+                    * rate
+                    * SnapshotSender.PART_INTERVAL_SECONDS
+                    / (rate * SnapshotSender.PART_INTERVAL_SECONDS - 45);
+            return Math.max(HEARTBEAT_MICROS + STEP_MICROS, (long)
+                    ((roundBytes / rate + SnapshotSender.PART_INTERVAL_SECONDS) * SECOND_MICROS));
         }
 
         /** What one scheduler believes in all is no more than the others but one hold, which told it last. */
-        void assertRightSum(int at, int silent) {
-            int believed = sides.get(at).sums.values().stream().mapToInt(s -> s).sum();
-            int held = 0;
-            for (int k = 0; k < count; k++) {
-                held += k == at || k == silent
+        void assertSumNotAboveHeld(int observer, int silentPeer) {
+            int believed = schedulers.get(observer).peerSlotsByName.values().stream()
+                    .mapToInt(s -> s)
+                    .sum();
+            int heldByOthers = 0;
+            for (int k = 0; k < schedulerCount; k++) {
+                heldByOthers += k == observer || k == silentPeer
                         ? 0
-                        : sides.get(k).holds.values().stream().mapToInt(s -> s).sum();
+                        : schedulers.get(k).slotsByName.values().stream()
+                                .mapToInt(s -> s)
+                                .sum();
             }
-            assertThat(believed).isLessThanOrEqualTo(held);
+            assertThat(believed).isLessThanOrEqualTo(heldByOthers);
         }
 
         /** At each scheduler, for each worker: the sum of what all others hold that are not silent. */
-        void assertAllRight() {
-            for (int k = 0; k < count; k++) {
-                for (int w = 0; w < workers; w++) {
+        void assertAllSumsCorrect() {
+            for (int k = 0; k < schedulerCount; k++) {
+                for (int w = 0; w < workerCount; w++) {
                     int expected = 0;
-                    for (int other = 0; other < count; other++) {
-                        boolean counts = other != k && !sides.get(k).heard.isSilent(now, other);
-                        expected += !counts ? 0 : sides.get(other).holds.getOrDefault(name(w), 0);
+                    for (int other = 0; other < schedulerCount; other++) {
+                        boolean counts =
+                                other != k && !schedulers.get(k).peerSlots.isSilent(nowMicros, other);
+                        expected +=
+                                !counts ? 0 : schedulers.get(other).slotsByName.getOrDefault(workerName(w), 0);
                     }
-                    assertThat(sides.get(k).sums.getOrDefault(name(w), 0))
+                    assertThat(schedulers.get(k).peerSlotsByName.getOrDefault(workerName(w), 0))
                             .as("worker %d at scheduler %d", w, k)
                             .isEqualTo(expected);
                 }
@@ -180,61 +198,61 @@
     }
 
     @Property(tries = 40)
-    void eachFigureIsRightWithinTheStatedTime(
+    void everySumIsCorrectWithinTheStatedTime(
             @ForAll long seed,
             @ForAll @IntRange(min = 2, max = 12) int schedulers,
             @ForAll @IntRange(min = 1, max = 400) int workers) {
         Fleet fleet = new Fleet(schedulers, workers, 0.3, seed);
         for (int k = 0; k < 24; k++) {
-            fleet.change(schedulers * 5);
+            fleet.changeSlots(schedulers * 5);
             fleet.step();
         }
-        fleet.run(ROUNDS * fleet.round());
-        fleet.assertAllRight();
+        fleet.run(ROUNDS_UNTIL_CORRECT * fleet.roundMicros());
+        fleet.assertAllSumsCorrect();
     }
 
     @Property(tries = 20)
-    void aRestartUnderTheSameNameLeavesNothingBehind(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 300) int workers) {
+    void restartedSchedulerLeavesNoStaleSlots(@ForAll long seed, @ForAll @IntRange(min = 1, max = 300) int workers) {
         Fleet fleet = new Fleet(5, workers, 0.3, seed);
         for (int k = 0; k < 24; k++) {
-            fleet.change(40);
+            fleet.changeSlots(40);
             fleet.step();
             if (k % 6 == 5) {
                 fleet.restart(fleet.random.nextInt(5));
             }
         }
-        fleet.run(ROUNDS * fleet.round());
-        fleet.assertAllRight();
+        fleet.run(ROUNDS_UNTIL_CORRECT * fleet.roundMicros());
+        fleet.assertAllSumsCorrect();
     }
 
     @Property(tries = 20)
-    void aPeerPausedForTenSecondsIsForgottenAndThenRightAgain(@ForAll long seed) {
+    void pausedPeerExpiresAndRecovers(@ForAll long seed) {
         Fleet fleet = new Fleet(5, 200, 0.3, seed);
-        fleet.change(400);
-        fleet.run(4 * SECOND);
-        fleet.sides.get(2).pausedUntil = fleet.now + 10 * SECOND;
-        fleet.run(5 * SECOND);
-        fleet.assertRightSum(0, 2);
-        assertThat(fleet.sides.get(0).heard.silentShare(fleet.now)).isGreaterThanOrEqualTo(0.25);
-        fleet.change(200);
-        fleet.run(6 * SECOND + ROUNDS * fleet.round());
-        fleet.assertAllRight();
+        fleet.changeSlots(400);
+        fleet.run(4 * SECOND_MICROS);
+        fleet.schedulers.get(2).pausedUntilMicros = fleet.nowMicros + 10 * SECOND_MICROS;
+        fleet.run(5 * SECOND_MICROS);
+        fleet.assertSumNotAboveHeld(0, 2);
+        assertThat(fleet.schedulers.get(0).peerSlots.silentShare(fleet.nowMicros))
+                .isGreaterThanOrEqualTo(0.25);
+        fleet.changeSlots(200);
+        fleet.run(6 * SECOND_MICROS + ROUNDS_UNTIL_CORRECT * fleet.roundMicros());
+        fleet.assertAllSumsCorrect();
     }
 
     /** Ten schedulers before 770 workers, 3,000 slots held, and changes as fast as 260 tasks start and end a second. */
     @Property(tries = 3)
-    void theBudgetHoldsWhateverChanges(@ForAll long seed) {
+    void trafficStaysWithinBudget(@ForAll long seed) {
         Fleet fleet = new Fleet(10, 770, 0, seed);
-        fleet.change(4000);
-        fleet.run(5 * SECOND);
-        fleet.bytes = 0;
+        fleet.changeSlots(4000);
+        fleet.run(5 * SECOND_MICROS);
+        fleet.bytesPerReceiver = 0;
         for (int k = 0; k < 240; k++) {
-            fleet.change(44);
+            fleet.changeSlots(44);
             fleet.step();
         }
-        double seconds = 240.0 * STEP / SECOND;
-        assertThat(fleet.bytes / seconds)
+        double seconds = 240.0 * STEP_MICROS / SECOND_MICROS;
+        assertThat(fleet.bytesPerReceiver / seconds)
                 .as("bytes a second in and out, heads counted")
                 .isLessThan(4096);
     }
--- a/src/test/java/barrowshore/exchange/SlotSnapshotTest.java
+++ b/src/test/java/barrowshore/exchange/SlotSnapshotTest.java
@@ -15,35 +15,35 @@
 /** The datagram's form: what is written is read, what is not of this form is not, and earlier versions drop it. */
 class SlotSnapshotTest {
 
-    private static byte[] write(int width, Map<Integer, Integer> slots) {
-        SlotSnapshot.Writer writer = new SlotSnapshot.Writer(width, 0, SlotSnapshot.MAX_BYTES);
+    private static byte[] write(int nameBits, Map<Integer, Integer> slots) {
+        SlotSnapshot.Writer writer = new SlotSnapshot.Writer(nameBits, 0, SlotSnapshot.MAX_BYTES);
         slots.forEach(writer::add);
-        return writer.finish(77, 5, SlotSnapshot.NAMES_END);
+        return writer.finish(77, 5, SlotSnapshot.NAME_LIMIT);
     }
 
     @Property
-    void whatIsWrittenIsRead(
-            @ForAll @Size(max = 40) List<@IntRange(min = 0, max = SlotSnapshot.NAMES_END - 1) Integer> names,
+    void readReturnsWhatWasWritten(
+            @ForAll @Size(max = 40) List<@IntRange(min = 0, max = SlotSnapshot.NAME_LIMIT - 1) Integer> names,
             @ForAll @IntRange(min = 1, max = 255) int slots,
-            @ForAll @IntRange(min = SlotSnapshot.MIN_WIDTH, max = SlotSnapshot.FULL_WIDTH) int width) {
+            @ForAll @IntRange(min = SlotSnapshot.MIN_NAME_BITS, max = SlotSnapshot.FULL_NAME_BITS) int nameBits) {
         Map<Integer, Integer> held = new TreeMap<>();
         for (int name : names) {
-            held.put(SlotSnapshot.shortened(name, width), held.size() % 2 == 0 ? 1 : slots);
+            held.put(SlotSnapshot.truncate(name, nameBits), held.size() % 2 == 0 ? 1 : slots);
         }
-        byte[] message = write(width, held);
+        byte[] message = write(nameBits, held);
         SlotSnapshot read = SlotSnapshot.read(message);
         assertThat(message).hasSizeLessThanOrEqualTo(SlotSnapshot.MAX_BYTES);
         assertThat(read).isNotNull();
         assertThat(read.incarnation()).isEqualTo(77);
         assertThat(read.sequence()).isEqualTo(5);
-        Map<Integer, Integer> back = new TreeMap<>();
-        read.entries().forEach(e -> back.put(e.name(), e.slots()));
-        assertThat(back).isEqualTo(held);
+        Map<Integer, Integer> decoded = new TreeMap<>();
+        read.entries().forEach(e -> decoded.put(e.name(), e.slots()));
+        assertThat(decoded).isEqualTo(held);
     }
 
     /** The version before read a head of 5 bytes and entries of 5, and dropped all other lengths. */
     @Property
-    void anEarlierVersionDropsIt(@ForAll @IntRange(min = 0, max = 60) int entries) {
+    void oldFormatReaderDropsDatagram(@ForAll @IntRange(min = 0, max = 60) int entries) {
         Map<Integer, Integer> held = new TreeMap<>();
         for (int k = 0; k < entries; k++) {
             held.put(k << 14, 1 + k % 2);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void whatAnEarlierVersionSendsIsDropped() {
+    void oldFormatDatagramIsDropped() {
         for (byte kind = 0; kind < 4; kind++) {
             byte[] message = new byte[5 + 5 * 4];
             message[0] = kind;
@@ -61,28 +61,28 @@
     }
 
     @Property
-    void noBytesAtAllDoHarm(@ForAll @Size(max = 300) byte[] bytes, @ForAll boolean ourFormat) {
+    void arbitraryBytesReadAsValidSnapshotOrNull(@ForAll @Size(max = 300) byte[] bytes, @ForAll boolean currentFormat) {
         byte[] message = bytes.clone();
-        if (ourFormat && message.length > 7) {
+        if (currentFormat && message.length > 7) {
             message[0] = (byte) (4 + message[1] % 2);
             message[7] = (byte) (12 + Math.abs(message[7] % 19));
         }
         SlotSnapshot read = SlotSnapshot.read(message);
         if (read != null) {
-            int before = read.from() - 1;
-            assertThat(read.to()).isBetween(1, SlotSnapshot.NAMES_END);
+            int previousName = read.from() - 1;
+            assertThat(read.to()).isBetween(1, SlotSnapshot.NAME_LIMIT);
             for (SlotSnapshot.Entry entry : read.entries()) {
                 assertThat(entry.name())
-                        .isGreaterThanOrEqualTo(Math.max(0, before))
+                        .isGreaterThanOrEqualTo(Math.max(0, previousName))
                         .isLessThan(read.to());
                 assertThat(entry.slots()).isBetween(1, 255);
-                before = entry.name();
+                previousName = entry.name();
             }
         }
     }
 
     @Test
-    void aCutMessageIsDropped() {
+    void wrongLengthIsDropped() {
         byte[] message = write(20, Map.of(1 << 10, 3));
         assertThat(SlotSnapshot.read(message)).isNotNull();
         assertThat(SlotSnapshot.read(Arrays.copyOf(message, 10))).isNull();
@@ -90,8 +90,8 @@
     }
 
     @Test
-    void namesAreTheSameEverywhere() {
+    void nameIsDeterministicAndInRange() {
         assertThat(SlotSnapshot.nameOf("s-5be2a07c")).isEqualTo(SlotSnapshot.nameOf("s-5be2a07c"));
-        assertThat(SlotSnapshot.nameOf("s-5be2a07c")).isBetween(0, SlotSnapshot.NAMES_END - 1);
+        assertThat(SlotSnapshot.nameOf("s-5be2a07c")).isBetween(0, SlotSnapshot.NAME_LIMIT - 1);
     }
 }
--- a/src/test/java/barrowshore/list/ServerListMergerTest.java
+++ b/src/test/java/barrowshore/list/ServerListMergerTest.java
@@ -16,7 +16,7 @@
 
 /** The one list worked out from several sources. */
 class ServerListMergerTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private static Entry entry(String uid, State state, double weight) {
         return new Entry(uid, "127.0.0.1:1", null, 0, 0, 0, state, weight, 0);
@@ -26,14 +26,14 @@
         return entry(uid, State.READY, weight);
     }
 
-    private static Update all(long rev, Entry... entries) {
-        return new Update(rev, true, List.of(entries));
+    private static Update fullList(long revision, Entry... entries) {
+        return new Update(revision, true, List.of(entries));
     }
 
-    private static Map<String, Entry> byUid(Update whole) {
-        Map<String, Entry> all = new LinkedHashMap<>();
-        whole.entries().forEach(e -> all.put(e.uid(), e));
-        return all;
+    private static Map<String, Entry> byUid(Update list) {
+        Map<String, Entry> entries = new LinkedHashMap<>();
+        list.entries().forEach(e -> entries.put(e.uid(), e));
+        return entries;
     }
 
     /** What one who is told only changes makes of them. */
@@ -48,80 +48,84 @@
         }
     }
 
-    private static ServerListMerger book() {
-        ServerListMerger book = new ServerListMerger();
-        book.addSource("discovery", 1, 0);
-        book.addSource("file", 2, 10 * S);
-        return book;
+    private static ServerListMerger newMerger() {
+        ServerListMerger merger = new ServerListMerger();
+        merger.addSource("discovery", 1, 0);
+        merger.addSource("file", 2, 10 * SECOND_MICROS);
+        return merger;
     }
 
     @Example
-    void theBetterRankWinsAndADrainWinsOverRank() {
-        ServerListMerger book = book();
-        book.apply(0, "file", all(1, ready("a", 7), entry("b", State.TERMINATING, 1)));
-        book.apply(0, "discovery", all(1, ready("a", 3), ready("b", 4)));
-        assertThat(byUid(book.currentList()).get("a").capacityHint()).isEqualTo(3);
-        assertThat(byUid(book.currentList()).get("b").state()).isEqualTo(State.TERMINATING);
-        assertThat(byUid(book.currentList()).get("b").capacityHint()).isEqualTo(4);
+    void lowestRankWinsAndDrainOverridesRank() {
+        ServerListMerger merger = newMerger();
+        merger.apply(0, "file", fullList(1, ready("a", 7), entry("b", State.TERMINATING, 1)));
+        merger.apply(0, "discovery", fullList(1, ready("a", 3), ready("b", 4)));
+        assertThat(byUid(merger.currentList()).get("a").capacityHint()).isEqualTo(3);
+        assertThat(byUid(merger.currentList()).get("b").state()).isEqualTo(State.TERMINATING);
+        assertThat(byUid(merger.currentList()).get("b").capacityHint()).isEqualTo(4);
     }
 
     @Example
-    void whatAFileDropsDrainsForItsGraceAndMayComeBack() {
-        ServerListMerger book = book();
-        book.apply(0, "file", all(1, ready("a", 1), ready("b", 1)));
-        Update dropped = book.apply(S, "file", all(2, ready("a", 1)));
+    void droppedServerDrainsForGraceAndMayReturn() {
+        ServerListMerger merger = newMerger();
+        merger.apply(0, "file", fullList(1, ready("a", 1), ready("b", 1)));
+        Update dropped = merger.apply(SECOND_MICROS, "file", fullList(2, ready("a", 1)));
         assertThat(dropped.entries()).singleElement().satisfies(e -> {
             assertThat(e.uid()).isEqualTo("b");
             assertThat(e.state()).isEqualTo(State.TERMINATING);
         });
-        assertThat(book.nextExpiry()).isEqualTo(11 * S);
-        assertThat(book.expireGraces(11 * S - 1).entries()).isEmpty();
-        assertThat(book.apply(5 * S, "file", all(3, ready("a", 1), ready("b", 1)))
+        assertThat(merger.nextExpiry()).isEqualTo(11 * SECOND_MICROS);
+        assertThat(merger.expireGraces(11 * SECOND_MICROS - 1).entries()).isEmpty();
+        assertThat(merger.apply(5 * SECOND_MICROS, "file", fullList(3, ready("a", 1), ready("b", 1)))
                         .entries())
                 .singleElement()
                 .satisfies(e -> assertThat(e.state()).isEqualTo(State.READY));
-        assertThat(book.nextExpiry()).isEqualTo(Long.MAX_VALUE);
-        book.apply(6 * S, "file", all(4, ready("a", 1)));
-        assertThat(book.expireGraces(16 * S).entries()).singleElement().satisfies(e -> assertThat(e.state())
-                .isEqualTo(State.GONE));
+        assertThat(merger.nextExpiry()).isEqualTo(Long.MAX_VALUE);
+        merger.apply(6 * SECOND_MICROS, "file", fullList(4, ready("a", 1)));
+        assertThat(merger.expireGraces(16 * SECOND_MICROS).entries())
+                .singleElement()
+                .satisfies(e -> assertThat(e.state()).isEqualTo(State.GONE));
     }
 
     @Example
-    void goneIsGoneAtOnceWhereTheSourceSaysSo() {
-        ServerListMerger book = book();
-        book.apply(0, "discovery", all(1, ready("a", 1)));
-        Update gone = book.apply(S, "discovery", new Update(2, false, List.of(entry("a", State.GONE, 1))));
+    void serverReportedGoneLeavesWithoutGrace() {
+        ServerListMerger merger = newMerger();
+        merger.apply(0, "discovery", fullList(1, ready("a", 1)));
+        Update gone =
+                merger.apply(SECOND_MICROS, "discovery", new Update(2, false, List.of(entry("a", State.GONE, 1))));
         assertThat(gone.entries()).singleElement().satisfies(e -> assertThat(e.state())
                 .isEqualTo(State.GONE));
     }
 
     @Example
-    void aSourceThatIsWithdrawnGivesUpWhatOnlyItNamed() {
-        ServerListMerger book = book();
-        book.apply(0, "file", all(1, ready("a", 1), ready("b", 1)));
-        book.apply(0, "discovery", all(1, ready("a", 1)));
-        book.withdraw(S, "file");
-        assertThat(byUid(book.currentList()).get("a").state()).isEqualTo(State.READY);
-        assertThat(byUid(book.currentList()).get("b").state()).isEqualTo(State.TERMINATING);
-        book.expireGraces(11 * S);
-        assertThat(byUid(book.currentList())).containsOnlyKeys("a");
+    void withdrawnSourceDrainsServersOnlyItListed() {
+        ServerListMerger merger = newMerger();
+        merger.apply(0, "file", fullList(1, ready("a", 1), ready("b", 1)));
+        merger.apply(0, "discovery", fullList(1, ready("a", 1)));
+        merger.withdraw(SECOND_MICROS, "file");
+        assertThat(byUid(merger.currentList()).get("a").state()).isEqualTo(State.READY);
+        assertThat(byUid(merger.currentList()).get("b").state()).isEqualTo(State.TERMINATING);
+        merger.expireGraces(11 * SECOND_MICROS);
+        assertThat(byUid(merger.currentList())).containsOnlyKeys("a");
     }
 
     /** Changes, one after the other, always add up to the list; and in the end only the last word of each counts. */
     @Property(tries = 200, seed = "20261201")
-    void anyHistoryEndsInWhatTheLastWordsAlonePlusTimeGive(@ForAll long seed) {
-        Random chance = new Random(seed);
-        ServerListMerger book = book();
-        Map<String, Entry> told = new LinkedHashMap<>();
-        Map<String, Map<String, Entry>> said = new LinkedHashMap<>(Map.of("discovery", Map.of(), "file", Map.of()));
+    void appliedChangesMatchTheMergeOfFinalLists(@ForAll long seed) {
+        Random random = new Random(seed);
+        ServerListMerger merger = newMerger();
+        Map<String, Entry> received = new LinkedHashMap<>();
+        Map<String, Map<String, Entry>> latestBySource =
+                new LinkedHashMap<>(Map.of("discovery", Map.of(), "file", Map.of()));
         long now = 0;
         for (int k = 0; k < 60; k++) {
-            now += chance.nextInt((int) (3 * S));
-            String source = chance.nextBoolean() ? "file" : "discovery";
-            Map<String, Entry> next = new LinkedHashMap<>(chance.nextInt(3) == 0 ? Map.of() : said.get(source));
+            now += random.nextInt((int) (3 * SECOND_MICROS));
+            String source = random.nextBoolean() ? "file" : "discovery";
+            Map<String, Entry> next =
+                    new LinkedHashMap<>(random.nextInt(3) == 0 ? Map.of() : latestBySource.get(source));
             List<Entry> changed = new ArrayList<>();
-            for (int n = chance.nextInt(4); n >= 0; n--) {
-                Entry e = entry("s" + chance.nextInt(6), State.values()[chance.nextInt(3)], 1 + chance.nextInt(3));
+            for (int n = random.nextInt(4); n >= 0; n--) {
+                Entry e = entry("s" + random.nextInt(6), State.values()[random.nextInt(3)], 1 + random.nextInt(3));
                 changed.removeIf(c -> c.uid().equals(e.uid()));
                 changed.add(e);
                 if (e.state() == State.GONE) {
@@ -130,10 +134,10 @@
                     next.put(e.uid(), e);
                 }
             }
-            if (chance.nextBoolean()) {
-                apply(told, book.apply(now, source, new Update(k, true, List.copyOf(next.values()))));
+            if (random.nextBoolean()) {
+                apply(received, merger.apply(now, source, new Update(k, true, List.copyOf(next.values()))));
             } else {
-                next = new LinkedHashMap<>(said.get(source));
+                next = new LinkedHashMap<>(latestBySource.get(source));
                 for (Entry e : changed) {
                     if (e.state() == State.GONE) {
                         next.remove(e.uid());
@@ -141,14 +145,15 @@
                         next.put(e.uid(), e);
                     }
                 }
-                apply(told, book.apply(now, source, new Update(k, false, changed)));
+                apply(received, merger.apply(now, source, new Update(k, false, changed)));
             }
-            said.put(source, next);
-            assertThat(told).isEqualTo(byUid(book.currentList()));
+            latestBySource.put(source, next);
+            assertThat(received).isEqualTo(byUid(merger.currentList()));
         }
-        apply(told, book.expireGraces(now + 10 * S));
-        ServerListMerger plain = book();
-        said.forEach((source, entries) -> plain.apply(0, source, new Update(1, true, List.copyOf(entries.values()))));
-        assertThat(told).isEqualTo(byUid(plain.currentList()));
+        apply(received, merger.expireGraces(now + 10 * SECOND_MICROS));
+        ServerListMerger freshMerger = newMerger();
+        latestBySource.forEach(
+                (source, entries) -> freshMerger.apply(0, source, new Update(1, true, List.copyOf(entries.values()))));
+        assertThat(received).isEqualTo(byUid(freshMerger.currentList()));
     }
 }
--- a/src/test/java/barrowshore/peer/PeerMessengerTest.java
+++ b/src/test/java/barrowshore/peer/PeerMessengerTest.java
@@ -22,69 +22,69 @@
 class PeerMessengerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    private final AtomicLong time = new AtomicLong();
+    private final AtomicLong timeNanos = new AtomicLong();
 
-    private static boolean othersServe(PeerMessenger side) {
+    private static boolean othersServe(PeerMessenger messenger) {
         CompletableFuture<Boolean> answer = new CompletableFuture<>();
-        side.announceEnd(answer::complete);
+        messenger.announceEnd(answer::complete);
         return answer.join();
     }
 
     @Test
-    void tellsAllAndHearsOnlyPeers() throws Exception {
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    void broadcastsToAllAndReceivesOnlyFromPeers() throws Exception {
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
         try (DatagramSocket peer = new DatagramSocket(0, LOOPBACK);
                 DatagramSocket stranger = new DatagramSocket(0, LOOPBACK);
-                DatagramSocket ours = new DatagramSocket(0, LOOPBACK)) {
-            InetSocketAddress at = new InetSocketAddress(LOOPBACK, peer.getLocalPort());
-            PeerMessenger side = new PeerMessenger(
+                DatagramSocket ownSocket = new DatagramSocket(0, LOOPBACK)) {
+            InetSocketAddress peerAddress = new InetSocketAddress(LOOPBACK, peer.getLocalPort());
+            PeerMessenger messenger = new PeerMessenger(
                     new Config.PeerConfig(
                             new InetSocketAddress(LOOPBACK, 0),
-                            List.of(new InetSocketAddress(LOOPBACK, ours.getLocalPort()), at),
+                            List.of(new InetSocketAddress(LOOPBACK, ownSocket.getLocalPort()), peerAddress),
                             0,
-                            at),
+                            peerAddress),
                     false,
                     Runnable::run,
-                    new Clock(0, time::get),
-                    (from, message) -> heard.add(from + " " + HexFormat.of().formatHex(message)));
-            side.broadcast(new byte[257]); // not sent: a longer one is forbidden
-            side.broadcast(new byte[] {1, 2, 3});
-            DatagramPacket in = new DatagramPacket(new byte[300], 300);
-            peer.receive(in);
-            assertThat(HexFormat.of().formatHex(in.getData(), 0, in.getLength()))
+                    new Clock(0, timeNanos::get),
+                    (from, message) -> received.add(from + " " + HexFormat.of().formatHex(message)));
+            messenger.broadcast(new byte[257]); // not sent: a longer one is forbidden
+            messenger.broadcast(new byte[] {1, 2, 3});
+            DatagramPacket packet = new DatagramPacket(new byte[300], 300);
+            peer.receive(packet);
+            assertThat(HexFormat.of().formatHex(packet.getData(), 0, packet.getLength()))
                     .isEqualTo("010203");
-            stranger.send(new DatagramPacket(new byte[] {4}, 1, in.getSocketAddress()));
-            peer.send(new DatagramPacket(new byte[257], 257, in.getSocketAddress()));
-            peer.send(new DatagramPacket(new byte[] {5, 6}, 2, in.getSocketAddress()));
-            assertThat(heard.take()).isEqualTo("1 0506");
-            ours.send(new DatagramPacket(new byte[] {1, 1}, 2, in.getSocketAddress()));
-            assertThat(heard.take()).isEqualTo("0 0101");
-            time.addAndGet(3_000_000_000L);
-            ours.send(new DatagramPacket(new byte[] {1, 1}, 2, in.getSocketAddress()));
-            assertThat(heard.take()).isEqualTo("0 0101");
-            assertThat(othersServe(side))
+            stranger.send(new DatagramPacket(new byte[] {4}, 1, packet.getSocketAddress()));
+            peer.send(new DatagramPacket(new byte[257], 257, packet.getSocketAddress()));
+            peer.send(new DatagramPacket(new byte[] {5, 6}, 2, packet.getSocketAddress()));
+            assertThat(received.take()).isEqualTo("1 0506");
+            ownSocket.send(new DatagramPacket(new byte[] {1, 1}, 2, packet.getSocketAddress()));
+            assertThat(received.take()).isEqualTo("0 0101");
+            timeNanos.addAndGet(3_000_000_000L);
+            ownSocket.send(new DatagramPacket(new byte[] {1, 1}, 2, packet.getSocketAddress()));
+            assertThat(received.take()).isEqualTo("0 0101");
+            assertThat(othersServe(messenger))
                     .as("only our own come back from the address of all")
                     .isFalse();
-            peer.receive(in);
-            peer.receive(in);
-            peer.receive(in);
-            peer.send(new DatagramPacket(new byte[] {5, 6}, 2, in.getSocketAddress()));
-            assertThat(heard.take()).isEqualTo("1 0506");
-            assertThat(othersServe(side)).as("the peer was heard just now").isTrue();
-            peer.receive(in);
-            assertThat(in.getLength()).as("it is told that we are ending").isEqualTo(1);
-            peer.send(new DatagramPacket(new byte[] {0}, 1, in.getSocketAddress()));
-            peer.send(new DatagramPacket(new byte[] {7, 8}, 2, in.getSocketAddress()));
-            assertThat(heard.take()).isEqualTo("1 0708");
-            assertThat(othersServe(side))
+            peer.receive(packet);
+            peer.receive(packet);
+            peer.receive(packet);
+            peer.send(new DatagramPacket(new byte[] {5, 6}, 2, packet.getSocketAddress()));
+            assertThat(received.take()).isEqualTo("1 0506");
+            assertThat(othersServe(messenger)).as("the peer was heard just now").isTrue();
+            peer.receive(packet);
+            assertThat(packet.getLength()).as("it is told that we are ending").isEqualTo(1);
+            peer.send(new DatagramPacket(new byte[] {0}, 1, packet.getSocketAddress()));
+            peer.send(new DatagramPacket(new byte[] {7, 8}, 2, packet.getSocketAddress()));
+            assertThat(received.take()).isEqualTo("1 0708");
+            assertThat(othersServe(messenger))
                     .as("it is ending, though it still tells")
                     .isFalse();
-            time.addAndGet(9_000_000_000L);
-            assertThat(othersServe(side)).as("long not heard of").isFalse();
-            peer.send(new DatagramPacket(new byte[] {7, 8}, 2, in.getSocketAddress()));
-            assertThat(heard.take()).isEqualTo("1 0708");
-            assertThat(othersServe(side)).as("it is back").isTrue();
-            side.stop();
+            timeNanos.addAndGet(9_000_000_000L);
+            assertThat(othersServe(messenger)).as("long not heard of").isFalse();
+            peer.send(new DatagramPacket(new byte[] {7, 8}, 2, packet.getSocketAddress()));
+            assertThat(received.take()).isEqualTo("1 0708");
+            assertThat(othersServe(messenger)).as("it is back").isTrue();
+            messenger.stop();
         }
     }
 }
--- a/src/test/java/barrowshore/status/ServiceStateTest.java
+++ b/src/test/java/barrowshore/status/ServiceStateTest.java
@@ -5,44 +5,44 @@
 import org.junit.jupiter.api.Test;
 
 class ServiceStateTest {
-    private static final ServiceState SERVING = ServiceState.SERVING, AWAY = SERVING.drain(), ENDING = SERVING.end();
+    private static final ServiceState SERVING = ServiceState.SERVING, DRAINED = SERVING.drain(), ENDING = SERVING.end();
 
     @Test
-    void clientsSentAwayAreTurnedFromAtOnceAndComeBack() {
+    void drainRefusesClientsUntilActivated() {
         assertThat(SERVING.acceptsClients()).isTrue();
         assertThat(SERVING.closesAfterAnswer()).isFalse();
-        assertThat(AWAY.acceptsClients()).isFalse();
-        assertThat(AWAY.closesAfterAnswer()).isTrue();
-        assertThat(AWAY.activate().acceptsClients()).isTrue();
-        assertThat(AWAY.activate().closesAfterAnswer()).isFalse();
+        assertThat(DRAINED.acceptsClients()).isFalse();
+        assertThat(DRAINED.closesAfterAnswer()).isTrue();
+        assertThat(DRAINED.activate().acceptsClients()).isTrue();
+        assertThat(DRAINED.activate().closesAfterAnswer()).isFalse();
     }
 
     @Test
-    void aVerbSaidTwiceChangesNothingMore() {
-        assertThat(AWAY.drain()).isSameAs(AWAY);
+    void repeatedCommandsChangeNothing() {
+        assertThat(DRAINED.drain()).isSameAs(DRAINED);
         assertThat(SERVING.activate()).isSameAs(SERVING);
         assertThat(ENDING.end()).isSameAs(ENDING);
         assertThat(ENDING.closeConnections().closeConnections()).isEqualTo(ENDING.closeConnections());
     }
 
     @Test
-    void whatWasSetForAnEarlierTurnIsKnownByItsNumber() {
-        assertThat(AWAY.activate().drain().changeCount()).isNotEqualTo(AWAY.changeCount());
+    void everyDrainGetsItsOwnChangeCount() {
+        assertThat(DRAINED.activate().drain().changeCount()).isNotEqualTo(DRAINED.changeCount());
     }
 
     @Test
-    void anEndIsForGoodAndKeepsThoseAwayWhoWereSentAway() {
+    void endIsFinalAndKeepsDrain() {
         assertThat(ENDING.activate().isEnding()).isTrue();
         assertThat(ENDING.drain()).isSameAs(ENDING);
         assertThat(ENDING.closesAfterAnswer()).isFalse();
         assertThat(ENDING.closeConnections().closesAfterAnswer()).isTrue();
-        assertThat(AWAY.end().activate().acceptsClients()).isFalse();
-        assertThat(AWAY.end().closesAfterAnswer()).isTrue();
+        assertThat(DRAINED.end().activate().acceptsClients()).isFalse();
+        assertThat(DRAINED.end().closesAfterAnswer()).isTrue();
     }
 
     @Test
-    void onlyAnEndLetsGo() {
+    void closeConnectionsOnlyActsWhileEnding() {
         assertThat(SERVING.closeConnections()).isSameAs(SERVING);
-        assertThat(AWAY.closeConnections()).isSameAs(AWAY);
+        assertThat(DRAINED.closeConnections()).isSameAs(DRAINED);
     }
 }
--- a/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
+++ b/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
@@ -19,7 +19,7 @@
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class UpgradeLinkTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final ExecutorService pool = Executors.newFixedThreadPool(2);
 
@@ -29,75 +29,75 @@
     }
 
     /** A process and what it has heard. */
-    private final class Process implements UpgradeLink.Listener {
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        final UpgradeLink twin = new UpgradeLink(folder.resolve("t"), pool, this);
+    private final class LinkedProcess implements UpgradeLink.Listener {
+        final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+        final UpgradeLink link = new UpgradeLink(directory.resolve("t"), pool, this);
 
-        Process() {
-            twin.start();
+        LinkedProcess() {
+            link.start();
         }
 
         @Override
-        public void lineReceived(boolean before, String line) {
-            heard.add((before ? "before: " : "after: ") + line);
+        public void lineReceived(boolean fromPredecessor, String line) {
+            events.add((fromPredecessor ? "before: " : "after: ") + line);
         }
 
         @Override
         public void successorConnected() {
-            heard.add("joined");
+            events.add("joined");
         }
 
         @Override
-        public void linkClosed(boolean before) {
-            heard.add("left " + before);
+        public void linkClosed(boolean toPredecessor) {
+            events.add("left " + toPredecessor);
         }
     }
 
     @Test
-    void twoProcessesTellEachOtherAndHearOfAnEnd() throws Exception {
-        Process first = new Process();
-        assertThat(first.twin.foundPredecessor()).isFalse();
-        Process second = new Process();
-        assertThat(second.twin.foundPredecessor()).isTrue();
-        assertThat(first.heard.take()).isEqualTo("joined");
-        second.twin.send(true, "serving");
-        assertThat(first.heard.take()).isEqualTo("after: serving");
-        first.twin.send(false, "away");
-        assertThat(second.heard.take()).isEqualTo("before: away");
-        first.twin.stop();
-        assertThat(second.heard.take()).isEqualTo("left true");
+    void processesExchangeLinesAndSeeDisconnect() throws Exception {
+        LinkedProcess first = new LinkedProcess();
+        assertThat(first.link.foundPredecessor()).isFalse();
+        LinkedProcess second = new LinkedProcess();
+        assertThat(second.link.foundPredecessor()).isTrue();
+        assertThat(first.events.take()).isEqualTo("joined");
+        second.link.send(true, "serving");
+        assertThat(first.events.take()).isEqualTo("after: serving");
+        first.link.send(false, "away");
+        assertThat(second.events.take()).isEqualTo("before: away");
+        first.link.stop();
+        assertThat(second.events.take()).isEqualTo("left true");
     }
 
     @Test
-    void afterTheNextOneDiedTheOneAfterItIsFoundAgain() throws Exception {
-        Process first = new Process();
-        Process second = new Process();
-        assertThat(first.heard.take()).isEqualTo("joined");
-        second.twin.stop();
-        assertThat(first.heard.take()).isEqualTo("left false");
-        Process third = new Process();
-        assertThat(third.twin.foundPredecessor()).isTrue();
-        assertThat(first.heard.take()).isEqualTo("joined");
+    void newSuccessorConnectsAfterTheLastOneDied() throws Exception {
+        LinkedProcess first = new LinkedProcess();
+        LinkedProcess second = new LinkedProcess();
+        assertThat(first.events.take()).isEqualTo("joined");
+        second.link.stop();
+        assertThat(first.events.take()).isEqualTo("left false");
+        LinkedProcess third = new LinkedProcess();
+        assertThat(third.link.foundPredecessor()).isTrue();
+        assertThat(first.events.take()).isEqualTo("joined");
     }
 
     @Test
-    void whatADeadProcessLeftIsReplaced() throws Exception {
+    void staleSocketFileIsReplaced() throws Exception {
         try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            dead.bind(UnixDomainSocketAddress.of(folder.resolve("t")));
+            dead.bind(UnixDomainSocketAddress.of(directory.resolve("t")));
         }
-        assertThat(Files.exists(folder.resolve("t"))).isTrue();
-        Process first = new Process();
-        assertThat(first.twin.foundPredecessor()).isFalse();
-        assertThat(new UpgradeLink(folder.resolve("t"), pool, first).foundPredecessor())
+        assertThat(Files.exists(directory.resolve("t"))).isTrue();
+        LinkedProcess first = new LinkedProcess();
+        assertThat(first.link.foundPredecessor()).isFalse();
+        assertThat(new UpgradeLink(directory.resolve("t"), pool, first).foundPredecessor())
                 .isTrue();
     }
 
     @Test
-    void aFolderThatCannotBeUsedKeepsNobodyFromStarting() {
-        UpgradeLink twin = new UpgradeLink(folder.resolve("none").resolve("x".repeat(200)), pool, null);
-        assertThat(twin.foundPredecessor()).isFalse();
-        twin.start();
-        twin.send(false, "away");
-        twin.stop();
+    void unusablePathDoesNotPreventStart() {
+        UpgradeLink link = new UpgradeLink(directory.resolve("none").resolve("x".repeat(200)), pool, null);
+        assertThat(link.foundPredecessor()).isFalse();
+        link.start();
+        link.send(false, "away");
+        link.stop();
     }
 }
