--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -5,26 +5,27 @@
 import java.util.TreeMap;
 
 /**
- * What the other schedulers have told of their slots in flight. Sums are kept by the {@link SlotSums} of the caller, which
- * hears of each difference as it comes, so that nothing is ever added up over all peers and workers. Pure: time is what the
- * caller says, in microseconds.
+ * The slots in flight that the other schedulers (peers) last reported, per worker name (see {@link SlotSnapshot#nameOf}).
+ * Each difference goes to the caller's {@link SlotSums}, so that no sum over all peers and workers is ever recomputed. Does
+ * no I/O; the caller passes the time in microseconds.
  */
 public final class PeerSlots {
-    /** The sums by worker over all peers. */
+    /** Receives changes to the sums over all peers, kept per worker. */
     public interface SlotSums {
         /**
-         * The slots at all workers whose full names are in a range have changed by so many; false if there is none, in
-         * which case the figure is not kept.
+         * Adds the difference to the sum of the workers whose full names are in [from, to). Returns false if there is no
+         * such worker; the reported entry is then not stored.
          */
         boolean add(int from, int to, int difference);
     }
 
-    /** One figure of a peer: for the full names from its key on, up to that one. */
+    /** The slots a peer reported for the full names from the map key to rangeEnd, exclusive. */
     private record RangeSlots(int rangeEnd, int slots) {}
 
+    /** One peer: its last datagram's place in the order, and the slots it reported. */
     private static final class Peer {
         boolean hasReported;
-        /** Whether its figures are in the sums; those of a silent peer are kept, but do not count. */
+        /** Whether its slots are included in the sums; those of a silent peer are stored but not included. */
         boolean counted;
 
         int incarnation;
@@ -42,9 +43,8 @@
     private long visits;
 
     /**
-     * For so many schedulers, of which this one has the number me.
-     *
-     * @param silence microseconds without a datagram after which what a peer has told counts no more
+     * @param schedulers the number of schedulers, this one included
+     * @param silenceMicros a peer without a datagram for longer than this is silent: its slots leave the sums
      */
     public PeerSlots(int schedulers, int ownNumber, long silenceMicros, SlotSums sums) {
         this.peers = new Peer[schedulers];
@@ -53,18 +53,19 @@
         this.sums = sums;
     }
 
-    /** Enters a datagram; false if it was dropped: malformed, of no peer, or overtaken by a later one. */
-    public boolean receive(long now, int from, byte[] message) {
-        SlotSnapshot snapshot =
-                from < 0 || from >= peers.length || from == ownNumber ? null : SlotSnapshot.read(message);
+    /** Applies a datagram. Returns false if it was dropped: malformed, not from a peer, or not newer than the last one. */
+    public boolean receive(long now, int peerNumber, byte[] message) {
+        SlotSnapshot snapshot = peerNumber < 0 || peerNumber >= peers.length || peerNumber == ownNumber
+                ? null
+                : SlotSnapshot.read(message);
         if (snapshot == null) {
             malformedDatagrams++;
             return false;
         }
-        if (peers[from] == null) {
-            peers[from] = new Peer();
+        if (peers[peerNumber] == null) {
+            peers[peerNumber] = new Peer();
         }
-        Peer peer = peers[from];
+        Peer peer = peers[peerNumber];
         if (!isNewer(now, peer, snapshot)) {
             return false;
         }
@@ -81,7 +82,10 @@
         return true;
     }
 
-    /** Whether the datagram is later than all before. One of a silent peer always is: its clock may have been set back. */
+    /**
+     * Whether the datagram is newer than the last one applied. After silence any datagram is accepted, since the peer's
+     * clock, from which the incarnation comes, may have been set back.
+     */
     private boolean isNewer(long now, Peer peer, SlotSnapshot snapshot) {
         if (!peer.hasReported || isSilent(now, peer)) {
             return true;
@@ -96,10 +100,10 @@
                 peer.slotsByName.subMap(snapshot.from(), true, snapshot.to(), false);
         Map<Integer, RangeSlots> dropped = new TreeMap<>(covered);
         covered.clear();
-        int span = SlotSnapshot.namesPerPrefix(snapshot.nameBits());
+        int rangeLength = SlotSnapshot.namesPerPrefix(snapshot.nameBits());
         for (SlotSnapshot.Entry entry : snapshot.entries()) {
             visits++;
-            RangeSlots updated = new RangeSlots(entry.name() + span, entry.slots());
+            RangeSlots updated = new RangeSlots(entry.name() + rangeLength, entry.slots());
             RangeSlots previous = dropped.get(entry.name());
             if (previous != null && previous.rangeEnd == updated.rangeEnd) {
                 dropped.remove(entry.name());
@@ -122,7 +126,7 @@
         }
     }
 
-    /** Puts the figures of a peer into the sums, or takes them back. */
+    /** Adds a peer's slots to the sums, or subtracts them. */
     private void setCounted(Peer peer, boolean counted) {
         if (peer.counted == counted) {
             return;
@@ -134,7 +138,7 @@
         });
     }
 
-    /** Takes back what silent peers have told; it counts again once they are heard of in the same life. */
+    /** Subtracts the slots of silent peers; they count again with the peer's next datagram of the same incarnation. */
     public void expireSilentPeers(long now) {
         for (Peer peer : peers) {
             if (peer != null && peer.counted && isSilent(now, peer)) {
@@ -147,12 +151,12 @@
         return now - peer.heardAtMicros > silenceMicros;
     }
 
-    /** Whether nothing has been heard of a scheduler for a while. */
-    boolean isSilent(long now, int number) {
-        return peers[number] == null || isSilent(now, peers[number]);
+    /** Whether a scheduler has sent nothing for longer than the silence limit, or never. */
+    boolean isSilent(long now, int peerNumber) {
+        return peers[peerNumber] == null || isSilent(now, peers[peerNumber]);
     }
 
-    /** The share of the other schedulers that is silent. */
+    /** The share of the other schedulers that are silent, from 0 to 1. */
     public double silentShare(long now) {
         int heard = 0;
         for (Peer peer : peers) {
@@ -161,7 +165,7 @@
         return peers.length < 2 ? 0 : 1 - heard / (peers.length - 1.0);
     }
 
-    /** Figures held, over all peers. */
+    /** Stored entries over all peers. */
     public int figureCount() {
         int sum = 0;
         for (Peer peer : peers) {
@@ -170,17 +174,17 @@
         return sum;
     }
 
-    /** Datagrams dropped since they are of no form or no peer that is known here. */
+    /** Datagrams dropped because they were malformed or came from no known peer. */
     public long malformedDatagrams() {
         return malformedDatagrams;
     }
 
-    /** Figures dropped since no worker of that name is known here. */
+    /** Reported entries dropped because no known worker matches their name. */
     public long unknownWorkers() {
         return unknownWorkers;
     }
 
-    /** Figures gone over so far. */
+    /** Entries processed so far, as a measure of work done. */
     public long visits() {
         return visits;
     }
--- a/src/main/java/barrowshore/exchange/SlotSnapshot.java
+++ b/src/main/java/barrowshore/exchange/SlotSnapshot.java
@@ -8,63 +8,64 @@
 import java.util.zip.CRC32;
 
 /**
- * One datagram of the exchange between schedulers: the slots that its sender has in flight at every worker whose name lies
- * in a range. What the range covers and the datagram does not list is zero, so each datagram is right by itself, whatever
- * was lost, doubled or overtaken before it.
+ * One datagram between schedulers: the sender's slots in flight at every worker whose name lies in a range. A worker's full
+ * name is a 30-bit hash of its id; a datagram carries only the leading bits (the prefix). Names in the range that are not
+ * listed have zero slots, so each datagram is correct on its own, whatever was lost, duplicated or reordered before it.
  *
- * <p>Form: format (1 byte), incarnation (4), sequence (2), width of names in bits (1), number of entries (1); for a part of
- * the names its first name and the name after its last (a varint each); then for each entry a varint of the distance from
- * the name before, doubled, plus one if more than one slot is held, in which case a byte with the slots follows. A last
- * byte of zero fills up what an earlier version of this program would take for its own.
+ * <p>Layout: format (1 byte), incarnation (4), sequence (2), name bits (1), number of entries (1); if only a range of names
+ * is covered, its first prefix and its end (exclusive), a varint each; then for each entry a varint of the distance from
+ * the previous prefix, doubled, plus one if more than one slot is held, in which case a byte with the slots follows. A zero
+ * byte is appended where the length would be valid in the old format, so that older versions drop the datagram.
  *
- * @param incarnation orders the lives of one sender: a later start has a higher one, in serial arithmetic
- * @param sequence orders the datagrams of one life, 16 bits in serial arithmetic
- * @param nameBits how many bits the names here have; a name stands for all workers whose full names begin with it
- * @param from the first full name that is covered
- * @param to the full name after the last one that is covered
+ * @param incarnation identifies one run of the sender's process; a later start has a higher one, in serial arithmetic
+ * @param sequence orders the datagrams of one incarnation, 16 bits in serial arithmetic
+ * @param nameBits the number of leading name bits sent; an entry covers all workers that share them
+ * @param from the first full name covered
+ * @param to the end of the full names covered, exclusive
  * @param entries in ascending order of names, none with zero slots
  */
 public record SlotSnapshot(int incarnation, int sequence, int nameBits, int from, int to, List<Entry> entries) {
-    /** The longest datagram in bytes (protocol page), without heads. */
+    /** The longest datagram that the protocol allows, without IP and UDP headers. */
     public static final int MAX_BYTES = 256;
     /** Bits of a full name. */
     public static final int FULL_NAME_BITS = 30;
-    /** The name after the last. */
+    /** One above the highest full name. */
     public static final int NAME_LIMIT = 1 << FULL_NAME_BITS;
 
     static final int MIN_NAME_BITS = 12;
     private static final byte FORMAT_ALL_NAMES = 4, FORMAT_NAME_RANGE = 5;
     private static final int FIXED_HEADER_BYTES = 9;
+    /** Limit of the entry count and of an entry's slots, each sent in one byte. */
     private static final int MAX_BYTE_VALUE = 255;
-    /** Datagrams of the earlier version: a head, and entries of this many bytes. */
+    /** The format of older versions: a header followed by entries of fixed size. */
     private static final int OLD_FORMAT_HEADER_BYTES = 5, OLD_FORMAT_ENTRY_BYTES = 5;
 
     /**
-     * The slots at the workers of one name.
+     * The slots at all workers that share one name prefix.
      *
-     * @param name a full name whose bits beyond the width are zero
+     * @param name a full name whose bits after the prefix are zero
      */
     public record Entry(int name, int slots) {}
 
-    /** The full name of a worker, the same at every scheduler: the upper bits of a checksum over its id. */
+    /** The full name of a worker, equal at every scheduler: the upper 30 bits of the CRC-32 of its id. */
     public static int nameOf(String workerId) {
         CRC32 checksum = new CRC32();
         checksum.update(workerId.getBytes(StandardCharsets.UTF_8));
         return (int) (checksum.getValue() >>> (Integer.SIZE - FULL_NAME_BITS));
     }
 
-    /** The width at which two of so many workers share a name about once in 500 fleets. */
+    /** The name bits with which about one fleet of this size in 500 has two workers that share a prefix. */
     public static int nameBitsFor(int workers) {
         int bits = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, workers));
         return Math.min(FULL_NAME_BITS, Math.max(MIN_NAME_BITS, 2 * bits + 6));
     }
 
-    /** How many full names one name of that width stands for. */
+    /** How many full names share one prefix of that many bits. */
     public static int namesPerPrefix(int nameBits) {
         return 1 << (FULL_NAME_BITS - nameBits);
     }
 
-    /** The full name with the bits beyond the width cleared. */
+    /** The full name with the bits after the prefix cleared. */
     static int truncate(int name, int nameBits) {
         return name & -namesPerPrefix(nameBits);
     }
@@ -73,16 +74,15 @@
         return from == 0 && to == NAME_LIMIT;
     }
 
-    /** Writes datagrams entry by entry, so that the sender sees what still fits. */
+    /** Builds one datagram entry by entry and tells the sender when it is full. */
     static final class Writer {
         private final ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         private final int nameBits;
         private final int from;
         private final List<Entry> entries = new ArrayList<>();
-        /** The name before the next, in units of the width. */
         private int previousPrefix;
 
-        /** A datagram of at most so many bytes that covers the names from there on. */
+        /** Starts a datagram of at most maxBytes that covers the full names from {@code from} on. */
         Writer(int nameBits, int from, int maxBytes) {
             out.limit(maxBytes);
             this.nameBits = nameBits;
@@ -95,7 +95,7 @@
             return (bits + 1) / 7 + 1;
         }
 
-        /** Adds an entry at the shortened name; false if it does not fit any more. */
+        /** Adds an entry for a truncated name; false if it no longer fits. Names must ascend. */
         boolean add(int name, int slots) {
             int maxEntryBytes = maxVarintBytes(nameBits + 1) + 1;
             if (out.remaining() <= maxEntryBytes || entries.size() == MAX_BYTE_VALUE) {
@@ -112,7 +112,7 @@
             return true;
         }
 
-        /** The datagram, covering the names up to there. */
+        /** Returns the datagram, covering the full names up to {@code to}, exclusive. */
         byte[] finish(int incarnation, int sequence, int to) {
             SlotSnapshot snapshot = new SlotSnapshot(incarnation, sequence, nameBits, from, to, entries);
             int entriesStart = FIXED_HEADER_BYTES + 2 * maxVarintBytes(nameBits), entriesEnd = out.position();
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Reads a datagram; null if it is not one of this form. */
+    /** Reads a datagram; null if it is malformed or of another format. */
     public static SlotSnapshot read(byte[] message) {
         if (message.length < FIXED_HEADER_BYTES || message.length > MAX_BYTES) {
             return null;
@@ -195,7 +195,7 @@
         out.put((byte) remaining);
     }
 
-    /** A varint of at most five bytes; -1 if it is longer. */
+    /** Reads a varint of at most five bytes; -1 if it is longer. */
     private static long getVarint(ByteBuffer in) {
         long value = 0;
         for (int shift = 0; shift < 35; shift += 7) {
--- a/src/main/java/barrowshore/exchange/SnapshotSender.java
+++ b/src/main/java/barrowshore/exchange/SnapshotSender.java
@@ -7,43 +7,43 @@
 import java.util.TreeSet;
 
 /**
- * What one scheduler tells the others of its own slots in flight, and when: changes are gathered for a short while and go
- * out as {@link SlotSnapshot}s under a budget of bytes a second. Where the whole state fits one datagram, each datagram
- * holds all of it; else its parts follow one another over the range of names. While nothing changes the parts go on
- * at a slow pace, so that what was lost is made good and the others know that this scheduler is there. Pure: time is what
- * the caller says, in microseconds.
+ * Decides when one scheduler reports its own slots in flight to its peers, and writes the reports: changes are batched
+ * briefly and sent as {@link SlotSnapshot}s within a budget of bytes per second. If the whole state fits one datagram, each
+ * datagram holds all of it; otherwise successive datagrams cover successive ranges of names. Without changes, datagrams
+ * continue at the heartbeat, which repairs losses and shows that this scheduler is alive. Does no I/O; the caller passes
+ * the time in microseconds.
  */
 public final class SnapshotSender {
-    /** Bytes of the IP and UDP heads of one datagram. */
+    /** Bytes of the IP and UDP headers of one datagram. */
     public static final int HEADER_BYTES = 28;
-    /** Bytes a second that all schedulers together may cost each one, in and out, heads counted, where jobs are long. */
+    /** Traffic in and out of one scheduler, headers included, from all schedulers together while jobs are long. */
     static final double FLEET_BUDGET_BYTES_PER_SECOND = 0.85 * 4096;
     /**
-     * Bytes a second that one scheduler may send however many there are: about four small datagrams. Passes the fleet's
-     * budget above 18 schedulers, among which the state of each is small.
+     * What one scheduler may send in a fleet of any size: about four small datagrams. Above 18 schedulers the sum exceeds
+     * the fleet's budget, but there each scheduler's state is small.
      */
     static final double MIN_BUDGET_BYTES_PER_SECOND = 190;
     /**
-     * The state turns over in the time of a job. Where that is shorter than this, more may be told in proportion, up to a
-     * multiple, or it would be out of date before it is told.
+     * The state turns over within one job's run time. For jobs shorter than this the budget grows in proportion, up to a
+     * factor; otherwise reports would be out of date before they are sent.
      */
     private static final double LONG_JOB_MICROS = 10e6, MAX_BUDGET_FACTOR = 10;
-    /** Changes are gathered for this share of a job's time: so much of the state may be out of date. */
+    /** Changes are batched for this share of a job's run time, so about this share of the state may be out of date. */
     private static final double BATCHING_SHARE_OF_JOB_TIME = 0.02;
-    /** How far apart the parts of a large state may be: several must be lost before this scheduler seems silent. */
+    /** Target gap between the parts of a large state: several in a row must be lost before peers see silence. */
     static final double PART_INTERVAL_SECONDS = 0.6;
-    /** The longest datagram of a sender with the least budget. */
+    /** Size limit of a datagram at the smallest budget. */
     private static final int MIN_PART_BYTES = 96;
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** The budget that may be saved up: two full datagrams. */
+    /** Unused budget accumulates up to two full datagrams. */
     private static final double MAX_SAVED_BUDGET_BYTES = 2.0 * (SlotSnapshot.MAX_BYTES + HEADER_BYTES);
 
     private final double budgetBytesPerSecond;
     private final long heartbeatMicros;
     private final int maxPartBytes;
     private final NavigableMap<Integer, Integer> slotsByName = new TreeMap<>();
-    /** Names whose figure has changed since it was told. */
+    /** Full names whose slots have changed since they were last sent. */
     private final NavigableSet<Integer> unsentNames = new TreeSet<>();
 
     private int incarnation;
@@ -52,13 +52,12 @@
     private double budgetBytes = MAX_SAVED_BUDGET_BYTES;
     private long creditedAtMicros;
     private long sentAtMicros = Long.MIN_VALUE / 2;
-    /** Until when the budget does not suffice for what was due last. */
+    /** Until then the budget does not cover the datagram that was due last. */
     private long waitUntilMicros = Long.MIN_VALUE;
 
     /**
-     * A sender among so many schedulers.
-     *
-     * @param heartbeat microseconds after which a datagram goes out though nothing has changed
+     * @param schedulers the number of schedulers that share the fleet's budget
+     * @param heartbeatMicros interval after which a datagram is sent even without changes
      */
     public SnapshotSender(int schedulers, long heartbeatMicros) {
         this.budgetBytesPerSecond = Math.max(MIN_BUDGET_BYTES_PER_SECOND, FLEET_BUDGET_BYTES_PER_SECOND / schedulers);
@@ -67,13 +66,13 @@
         this.maxPartBytes = Math.min(SlotSnapshot.MAX_BYTES, Math.max(MIN_PART_BYTES, affordableBytes));
     }
 
-    /** Begins a life: what is sent from now on goes before all that an earlier life has sent. */
+    /** Starts an incarnation: its datagrams supersede those of earlier runs of this scheduler. */
     public void start(long now) {
         incarnation = (int) (now / 1000);
         creditedAtMicros = now;
     }
 
-    /** So many slots more, or fewer, are held at the workers of that full name. */
+    /** Changes the slots held at the workers of that full name by the difference. */
     public void addSlots(int name, int difference) {
         if (difference != 0) {
             slotsByName.merge(name, difference, (held, change) -> held + change == 0 ? null : held + change);
@@ -81,16 +80,16 @@
         }
     }
 
-    /** Names at which slots are held. */
+    /** The number of names at which slots are held. */
     public int nameCount() {
         return slotsByName.size();
     }
 
     /**
-     * The datagram that is due now, or null if none is or the budget does not allow it yet.
+     * Returns the datagram that is due now, or null if none is due or the budget does not cover it yet.
      *
-     * @param workers how many there are
-     * @param jobMicros how long a job usually runs
+     * @param workers the number of workers, which sets how many name bits are sent
+     * @param jobMicros the usual run time of a job
      */
     public byte[] nextDatagram(long now, int workers, double jobMicros) {
         double rateBytesPerSecond =
@@ -121,7 +120,7 @@
         return message;
     }
 
-    /** Writes as many entries as fit, from there on; returns the name after the last that is covered. */
+    /** Writes as many entries as fit, from {@code from} on; returns the end of the names covered, exclusive. */
     private int addEntries(SlotSnapshot.Writer writer, int from, int nameBits) {
         int name = -1;
         int slotSum = 0;
--- a/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
+++ b/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
@@ -17,20 +17,20 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Schedulers that tell one another over a way that loses three datagrams of ten, doubles and reorders them: whatever was
- * lost, each figure is right within the stated time after it last changed.
+ * Schedulers exchange their slots over a network that loses three datagrams in ten, duplicates and reorders them. Every
+ * sum must be correct within the stated time after its last change.
  */
 class ExchangePropertyTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long HEARTBEAT_MICROS = SECOND_MICROS / 2;
     private static final long SILENCE_MICROS = 3 * SECOND_MICROS;
-    /** How long a job runs: the target's. */
+    /** A job's run time in the target deployment. */
     private static final double JOB_MICROS = 11.5 * SECOND_MICROS;
 
     private static final long STEP_MICROS = SECOND_MICROS / 12;
     /**
-     * Within how many rounds over the whole state each figure is right with all but certainty: 0.3 to the power of 14 is
-     * under one in ten million.
+     * Sending the whole state this many times makes every sum correct almost certainly: the chance that an entry is lost
+     * each time, 0.3 to the power of 14, is below one in ten million.
      */
     private static final int ROUNDS_UNTIL_CORRECT = 14;
 
@@ -39,7 +39,7 @@
 
     private record DatagramInFlight(long arrivalMicros, int to, int from, byte[] message) {}
 
-    /** One scheduler: what it holds, what it tells, and what it has heard. */
+    /** One scheduler: its own slots, its sender, and the slots received from its peers. */
     private static final class Scheduler {
         final Map<Integer, Integer> slotsByName = new TreeMap<>();
         final Map<Integer, Integer> peerSlotsByName = new HashMap<>();
@@ -81,7 +81,7 @@
                 new PriorityQueue<>((a, b) -> Long.compare(a.arrivalMicros, b.arrivalMicros));
         final Map<Integer, Long> lives = new HashMap<>();
         long nowMicros = 1_700_000_000L * SECOND_MICROS;
-        long bytesPerReceiver;
+        long schedulerTrafficBytes;
 
         Fleet(int schedulerCount, int workerCount, double lossShare, long seed) {
             this.schedulerCount = schedulerCount;
@@ -93,9 +93,9 @@
             }
         }
 
-        void restart(int k) {
-            nowMicros += 2_000; // a process takes its time to come up
-            schedulers.set(k, new Scheduler(schedulerCount, k, nowMicros, workerCount));
+        void restart(int number) {
+            nowMicros += 2_000; // a process takes time to start, so its incarnation, in milliseconds, is higher
+            schedulers.set(number, new Scheduler(schedulerCount, number, nowMicros, workerCount));
         }
 
         void changeSlots(int changes) {
@@ -106,7 +106,7 @@
             }
         }
 
-        /** One step of time: what is due goes out, and what is under way arrives. */
+        /** Advances time by one step: sends what is due, then delivers what has arrived. */
         void step() {
             nowMicros += STEP_MICROS;
             for (int k = 0; k < schedulerCount; k++) {
@@ -115,7 +115,7 @@
                         ? null
                         : scheduler.sender.nextDatagram(nowMicros, workerCount, JOB_MICROS);
                 for (int to = 0; message != null && to < schedulerCount; to++) {
-                    bytesPerReceiver += to == 0 ? message.length + SnapshotSender.HEADER_BYTES : 0;
+                    schedulerTrafficBytes += to == 0 ? message.length + SnapshotSender.HEADER_BYTES : 0;
                     send(k, to, message);
                 }
                 scheduler.peerSlots.expireSilentPeers(nowMicros);
@@ -144,7 +144,7 @@
             }
         }
 
-        /** How long a round over the largest state takes at the budget. */
+        /** How long sending the largest scheduler's whole state takes within the budget. */
         long roundMicros() {
             int maxNames = schedulers.stream()
                     .mapToInt(s -> s.sender.nameCount())
@@ -153,6 +153,7 @@
             double rate = Math.max(
                     SnapshotSender.MIN_BUDGET_BYTES_PER_SECOND,
                     SnapshotSender.FLEET_BUDGET_BYTES_PER_SECOND / schedulerCount);
+            // About 5 bytes per entry; 45 bytes of headers per datagram: IP and UDP 28, fixed 9, two varints of 4.
             double roundBytes = maxNames
                     * 5.0
                     * rate
@@ -162,9 +163,9 @@
                     ((roundBytes / rate + SnapshotSender.PART_INTERVAL_SECONDS) * SECOND_MICROS));
         }
 
-        /** What one scheduler believes in all is no more than the others but one hold, which told it last. */
+        /** The observer's total is at most what its peers hold, not counting the silent one. */
         void assertSumNotAboveHeld(int observer, int silentPeer) {
-            int believed = schedulers.get(observer).peerSlotsByName.values().stream()
+            int observedSlots = schedulers.get(observer).peerSlotsByName.values().stream()
                     .mapToInt(s -> s)
                     .sum();
             int heldByOthers = 0;
@@ -175,10 +176,10 @@
                                 .mapToInt(s -> s)
                                 .sum();
             }
-            assertThat(believed).isLessThanOrEqualTo(heldByOthers);
+            assertThat(observedSlots).isLessThanOrEqualTo(heldByOthers);
         }
 
-        /** At each scheduler, for each worker: the sum of what all others hold that are not silent. */
+        /** At each scheduler, each worker's sum is what all peers that are not silent hold there. */
         void assertAllSumsCorrect() {
             for (int k = 0; k < schedulerCount; k++) {
                 for (int w = 0; w < workerCount; w++) {
@@ -240,20 +241,20 @@
         fleet.assertAllSumsCorrect();
     }
 
-    /** Ten schedulers before 770 workers, 3,000 slots held, and changes as fast as 260 tasks start and end a second. */
+    /** Ten schedulers, 770 workers, 3,000 slots held, and changes as when 260 jobs start and end per second. */
     @Property(tries = 3)
     void trafficStaysWithinBudget(@ForAll long seed) {
         Fleet fleet = new Fleet(10, 770, 0, seed);
         fleet.changeSlots(4000);
         fleet.run(5 * SECOND_MICROS);
-        fleet.bytesPerReceiver = 0;
+        fleet.schedulerTrafficBytes = 0;
         for (int k = 0; k < 240; k++) {
             fleet.changeSlots(44);
             fleet.step();
         }
         double seconds = 240.0 * STEP_MICROS / SECOND_MICROS;
-        assertThat(fleet.bytesPerReceiver / seconds)
-                .as("bytes a second in and out, heads counted")
+        assertThat(fleet.schedulerTrafficBytes / seconds)
+                .as("bytes per second in and out, headers included")
                 .isLessThan(4096);
     }
 }
--- a/src/test/java/barrowshore/exchange/SlotSnapshotTest.java
+++ b/src/test/java/barrowshore/exchange/SlotSnapshotTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The datagram's form: what is written is read, what is not of this form is not, and earlier versions drop it. */
+/** The datagram format: written snapshots are read back, malformed ones are dropped, and older versions drop all of them. */
 class SlotSnapshotTest {
 
     private static byte[] write(int nameBits, Map<Integer, Integer> slots) {
@@ -41,7 +41,7 @@
         assertThat(decoded).isEqualTo(held);
     }
 
-    /** The version before read a head of 5 bytes and entries of 5, and dropped all other lengths. */
+    /** The old format has a 5-byte header and 5-byte entries; its reader drops all other lengths. */
     @Property
     void oldFormatReaderDropsDatagram(@ForAll @IntRange(min = 0, max = 60) int entries) {
         Map<Integer, Integer> held = new TreeMap<>();
