--- a/src/main/java/barrowshore/list/OperatorServerList.java
+++ b/src/main/java/barrowshore/list/OperatorServerList.java
@@ -7,13 +7,17 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A list of servers as operators write one by hand, whatever it was read from. It owns this form alone: pure, checked
- * by its reader, and judged by {@link ServerListChangePolicy}. revision: goes up with each change; force: the operators
- * mean it, however much it takes away; grace: how long what it no longer names drains before it is gone, microseconds;
- * servers: by uid.
+ * A server list written by operators, as read from its file. Its reader validates it, and {@link ServerListChangePolicy}
+ * decides whether it is used.
+ *
+ * @param name the file's name in error messages
+ * @param revision increases with each change
+ * @param force confirms a change however much capacity it removes
+ * @param grace microseconds for which a server that the list no longer names drains before it is removed
+ * @param servers by uid
  */
 public record OperatorServerList(String name, long revision, boolean force, long grace, Map<String, Server> servers) {
-    /** One server, as the file says. */
+    /** One server of the file; line: its line there, for error messages. */
     public record Server(
             String uid,
             InetSocketAddress endpoint,
@@ -24,7 +28,7 @@
             boolean drains,
             boolean warm,
             int line) {
-        /** Whether two entries say the same; where they stand does not count. */
+        /** Whether two entries are equal apart from their line in the file. */
         boolean same(Server other) {
             return uid.equals(other.uid)
                     && endpoint.equals(other.endpoint)
@@ -37,7 +41,7 @@
         }
     }
 
-    /** Whether it names the same servers in the same way. */
+    /** Whether both lists have the same servers with the same attributes. */
     public boolean same(OperatorServerList other) {
         return servers.size() == other.servers.size()
                 && servers.values().stream()
@@ -45,8 +49,10 @@
     }
 
     /**
-     * The file as a list for a scheduler with these names. bootMicros: when a server that is not said to be warm counts
-     * as started, so that it is cold; by its uid. An unknown hall or model is an error.
+     * Converts the file to a list for a scheduler with these zone and kind names.
+     *
+     * @param bootMicros the assumed start of a server that is not marked warm, which makes it cold
+     * @throws IllegalArgumentException for a hall or model that the settings do not have
      */
     public ServerList.Update toUpdate(ServerList.ZoneKindNames names, ToLongFunction<Server> bootMicros) {
         List<ServerList.Entry> entries = new ArrayList<>();
@@ -61,7 +67,7 @@
                 throw new IllegalArgumentException(name + ": line " + s.line + ": server: model " + s.model
                         + " is none of the kinds " + String.join(", ", names.kinds()));
             }
-            // A weight of 0 takes nothing new, and finishes what it has: that is what a drain is.
+            // A server of weight 0 gets no new jobs and finishes those it has, which is a drain.
             ServerList.State state = s.drains || s.weight == 0 ? ServerList.State.TERMINATING : ServerList.State.READY;
             entries.add(new ServerList.Entry(
                     s.uid,
@@ -77,7 +83,7 @@
         return new ServerList.Update(revision, true, entries);
     }
 
-    /** One line for a person. */
+    /** A one-line summary for operators. */
     public String summary() {
         return "revision " + revision + ", " + servers.size() + " servers in "
                 + servers.values().stream().map(Server::hall).distinct().count() + " halls"
--- a/src/main/java/barrowshore/list/ServerList.java
+++ b/src/main/java/barrowshore/list/ServerList.java
@@ -11,21 +11,23 @@
 import java.util.Map;
 
 /**
- * What a list of servers is, whoever tells it, and how discovery's JSON is read as one. It owns these forms alone:
- * pure, without a connection, a clock or an opinion on what a list says. It must never drop what it cannot read without
- * saying so.
+ * The server list as the scheduler uses it, whatever its source, and the parser of service discovery's JSON. Holds no state
+ * and does no I/O. Nothing unreadable is dropped silently: it is an error or is listed in the update.
  */
 public final class ServerList {
     private ServerList() {}
 
-    /** What a list says of a server. */
+    /** A server's state according to a list. */
     public enum State {
         READY,
         TERMINATING,
         GONE
     }
 
-    /** One entry of the list; bootMicros in Unix time, 0: long ago; zone -1: not known; address null: not told. */
+    /**
+     * One entry of the list. zone and kind: positions in {@link ZoneKindNames}, zone -1 if unknown; address: null if not
+     * given; bootMicros: Unix time, 0 for long ago.
+     */
     public record Entry(
             String uid,
             String endpoint,
@@ -36,7 +38,7 @@
             State state,
             double capacityHint,
             long bootMicros) {
-        /** The entry as the decision module takes it. */
+        /** Converts the entry for the decision module. */
         public Member toMember() {
             Health health =
                     switch (state) {
@@ -49,8 +51,8 @@
     }
 
     /**
-     * A version of the list: all of it, or what changed; unknown: the servers left out, of no known model. One that
-     * leaves is never left out: whatever else is said of it, nothing new may go there.
+     * A version of the list: all of it (full) or only changes. unknownServers: uids left out because their model is not in
+     * the settings. Servers that are terminating or gone are never left out, since they must get no new jobs.
      */
     public record Update(long revision, boolean full, List<Entry> entries, List<String> unknownServers) {
         /** A list from which nothing was left out. */
@@ -58,7 +60,7 @@
             this(revision, full, entries, List.of());
         }
 
-        /** The whole list that changes make of this whole one. */
+        /** Applies changes to this full list and returns the resulting full list. */
         public Update apply(Update changes) {
             Map<String, Entry> next = new LinkedHashMap<>();
             entries.forEach(e -> next.put(e.uid(), e));
@@ -69,10 +71,14 @@
         }
     }
 
-    /** The settings' names for zones and kinds, by position. */
+    /** The names of the zones and of the kinds (server models) in the settings, by position. */
     public record ZoneKindNames(List<String> zones, List<String> kinds) {}
 
-    /** Reads a list in discovery's form; an IllegalArgumentException names what is wrong. */
+    /**
+     * Reads a list in service discovery's JSON.
+     *
+     * @throws IllegalArgumentException naming the part that is wrong
+     */
     public static Update parse(Map<?, ?> json, ZoneKindNames names) {
         if (!(json.get("targets") instanceof List<?> targets)) {
             throw new IllegalArgumentException("targets is missing or not a list");
@@ -88,7 +94,7 @@
             String endpoint = fields.get("endpoint") instanceof String s ? s : "";
             int kind = names.kinds().indexOf(SettingsReader.normalizeName(fields.get("model")));
             if (kind < 0 && !names.kinds().isEmpty() && state.equals("Ready")) {
-                unknown.add(uid); // guards the module against a kind that its settings do not name
+                unknown.add(uid); // the module must not get a kind that its settings do not have
                 continue;
             }
             entries.add(new Entry(
@@ -101,7 +107,7 @@
                     switch (state) {
                         case "Ready" -> State.READY;
                         case "Gone" -> State.GONE;
-                        default -> State.TERMINATING; // the careful reading of a word not known
+                        default -> State.TERMINATING; // unknown states: the safe choice is no new jobs
                     },
                     numberOr(fields.get("capacity_hint"), 1),
                     (long) numberOr(fields.get("boot_ms"), 0) * 1000));
--- a/src/main/java/barrowshore/list/ServerListChangePolicy.java
+++ b/src/main/java/barrowshore/list/ServerListChangePolicy.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * What a new servers' file may change at once. It judges, and changes nothing: a file that takes away too much is held
- * until a later revision carries {@code force}. Pure.
+ * Decides whether a new servers file may replace the one in use: a file that removes too much capacity is held until a later
+ * revision has {@code force}. Also formats lists and their differences. Has no state and changes nothing.
  */
 public final class ServerListChangePolicy {
-    /** What becomes of a file, and why. */
+    /** The outcome for a file and its reason. */
     public record Decision(Outcome outcome, String reason) {}
 
-    /** taken; the same as before; held until a later revision confirms it; refused. */
+    /** Accepted; equal to the file in use; held until a later revision confirms it; refused. */
     public enum Outcome {
         TAKEN,
         SAME,
@@ -26,7 +26,7 @@
 
     private ServerListChangePolicy() {}
 
-    /** Judges a file against the one in use (null: none). mostLost: the share of capacity that may go at once. */
+    /** Compares a file with the one in use (null: none). maxLostShare: the share of capacity it may remove at once. */
     public static Decision check(OperatorServerList inUse, OperatorServerList next, double maxLostShare) {
         if (inUse == null) {
             return next.servers().isEmpty() && !next.force()
@@ -96,7 +96,7 @@
         return byHall;
     }
 
-    /** What one file makes of another, a line for each server that changes. */
+    /** The differences between two files: one line for each server added (+), changed (~) or removed (-). */
     public static List<String> diff(OperatorServerList from, OperatorServerList to) {
         List<String> lines = new ArrayList<>();
         for (Server s : to.servers().values()) {
@@ -115,7 +115,7 @@
         return lines;
     }
 
-    /** The list, a line for each server. */
+    /** The list as text, one line for each server. */
     public static List<String> format(OperatorServerList file) {
         return file.servers().values().stream()
                 .map(s -> s.uid() + " " + describe(s))
--- a/src/main/java/barrowshore/list/ServerListMerger.java
+++ b/src/main/java/barrowshore/list/ServerListMerger.java
@@ -13,18 +13,17 @@
 import java.util.Set;
 
 /**
- * The one list that the module is told, worked out from what several sources say. It owns each source's last good list,
- * under its rank and version, and what was told last; it gives out changes alone. Pure: no source is read here, and time
- * is handed in. It must never give out half of what a source said at once, nor keep a server that its source has given
- * up longer than that source's grace.
+ * Merges the server lists of several sources into the one list the module works with. Owns each source's last list and the
+ * merged list published last, and returns only changes. Does no I/O; the caller passes the time in microseconds. A source's
+ * update is always applied as a whole, and a server that its source dropped is kept no longer than that source's grace.
  *
- * <p>What wins. A server's entry is that of the source of the best (lowest) rank that names it. A drain wins over rank:
- * if any source says that a server drains, it drains, since a server that is wrongly sent nothing harms less than one
- * that is wrongly sent work. What no source names any more drains for its source's grace, then is gone. A source that
- * falls silent keeps what it said, for as long as it takes; one that is withdrawn gives up all that it named.
+ * <p>Rules: a server's entry comes from the source with the lowest rank that lists it. If any source says that a server is
+ * terminating, it drains whatever the ranks, since a server wrongly left idle does less harm than one wrongly given work. A
+ * server that no source lists any more drains for its source's grace and is then gone. The list of a source that falls
+ * silent stays valid without limit; a withdrawn source drops all its servers.
  */
 public final class ServerListMerger {
-    /** What one source has said, and until when what it gave up still drains there. */
+    /** One source: its last list, and the servers it has dropped that still drain, with the end of their grace. */
     private static final class Source {
         final int rank;
         long graceMicros;
@@ -32,7 +31,7 @@
         long heardAtMicros;
         Map<String, Entry> entries = new LinkedHashMap<>();
         final Map<String, Long> drainEndMicrosByUid = new HashMap<>();
-        final Map<String, Entry> drainingEntriesByUid = new HashMap<>();
+        final Map<String, Entry> droppedEntriesByUid = new HashMap<>();
 
         Source(int rank, long graceMicros) {
             this.rank = rank;
@@ -40,75 +39,77 @@
         }
     }
 
-    /** What is known of a source: its rank, version, number of servers, and when it was heard last, microseconds. */
-    public record SourceStatus(String source, int rank, long rev, int servers, long heardAt) {}
+    /** A source's rank, list revision, number of servers, and time of its last update in microseconds. */
+    public record SourceStatus(String source, int rank, long revision, int servers, long heardAtMicros) {}
 
     private final Map<String, Source> sources = new LinkedHashMap<>();
     private Map<String, Entry> publishedEntries = new LinkedHashMap<>();
     private long revision;
 
     /**
-     * Makes a source known. rank: the lower, the more its word counts; grace: how long what it gives up drains before it
-     * is gone, microseconds.
+     * Registers a source.
+     *
+     * @param rank the source with the lowest rank takes precedence
+     * @param graceMicros how long a server that this source drops drains before it is gone
      */
     public void addSource(String name, int rank, long graceMicros) {
         if (sources.putIfAbsent(name, new Source(rank, graceMicros)) != null) {
-            throw new IllegalArgumentException("source " + name + " is there already");
+            throw new IllegalArgumentException("source " + name + " is already registered");
         }
     }
 
-    /** From now on what a source gives up drains for so long. */
+    /** Sets the grace, in microseconds, for servers that a source drops from now on. */
     public void setGrace(String name, long graceMicros) {
         requireSource(name).graceMicros = graceMicros;
     }
 
-    /** A source has said this: all of its list, or what changed in it. Returns what changes for the module. */
+    /** Applies a source's full list or changes, and returns what changes in the merged list. */
     public Update apply(long now, String name, Update update) {
-        Source s = requireSource(name);
-        s.revision = update.revision();
-        s.heardAtMicros = now;
-        Map<String, Entry> next = update.full() ? new LinkedHashMap<>() : new LinkedHashMap<>(s.entries);
+        Source source = requireSource(name);
+        source.revision = update.revision();
+        source.heardAtMicros = now;
+        Map<String, Entry> next = update.full() ? new LinkedHashMap<>() : new LinkedHashMap<>(source.entries);
         for (Entry e : update.entries()) {
             if (e.state() == State.GONE) {
                 next.remove(e.uid());
-                s.drainEndMicrosByUid.remove(e.uid()); // its own word: gone at once, not after a grace
-                s.drainingEntriesByUid.remove(e.uid());
-                s.entries.remove(e.uid());
+                source.drainEndMicrosByUid.remove(e.uid()); // reported gone by the source itself: no grace
+                source.droppedEntriesByUid.remove(e.uid());
+                source.entries.remove(e.uid());
             } else {
                 next.put(e.uid(), e);
-                s.drainEndMicrosByUid.remove(e.uid()); // it is back within its grace
+                source.drainEndMicrosByUid.remove(e.uid()); // listed again within its grace
             }
         }
-        for (Entry e : s.entries.values()) {
+        for (Entry e : source.entries.values()) {
             if (!next.containsKey(e.uid())) {
-                s.drainEndMicrosByUid.putIfAbsent(e.uid(), now + s.graceMicros);
-                s.drainingEntriesByUid.put(e.uid(), e);
+                source.drainEndMicrosByUid.putIfAbsent(e.uid(), now + source.graceMicros);
+                source.droppedEntriesByUid.put(e.uid(), e);
             }
         }
-        s.entries = next;
+        source.entries = next;
         return publishChanges(now);
     }
 
-    /** A source is no more: all that it named drains for its grace. */
+    /** Drops all servers of a source; those that no other source lists drain for its grace. */
     public Update withdraw(long now, String name) {
-        Source s = requireSource(name);
-        return apply(now, name, new Update(s.revision, true, List.of()));
+        Source source = requireSource(name);
+        return apply(now, name, new Update(source.revision, true, List.of()));
     }
 
     private Source requireSource(String name) {
-        Source s = sources.get(name);
-        if (s == null) {
-            throw new IllegalArgumentException("source " + name + " is not known");
+        Source source = sources.get(name);
+        if (source == null) {
+            throw new IllegalArgumentException("source " + name + " is not registered");
         }
-        return s;
+        return source;
     }
 
-    /** What has changed since because time has passed: graces that are over. */
+    /** Removes servers whose grace is over, and returns what changes in the merged list. */
     public Update expireGraces(long now) {
         return publishChanges(now);
     }
 
-    /** When {@link #expireGraces} will have something to say; Long.MAX_VALUE: not before a source says something. */
+    /** When the next grace ends and {@link #expireGraces} has work to do; Long.MAX_VALUE if none is running. */
     public long nextExpiry() {
         return sources.values().stream()
                 .flatMap(s -> s.drainEndMicrosByUid.values().stream())
@@ -117,13 +118,13 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** The list as it was told last, whole. */
+    /** The merged list published last, in full. */
     public Update currentList() {
         return new Update(revision, true, List.copyOf(publishedEntries.values()));
     }
 
-    /** How the sources stand. */
-    public List<SourceStatus> standings() {
+    /** The status of each source. */
+    public List<SourceStatus> sourceStatuses() {
         List<SourceStatus> all = new ArrayList<>();
         sources.forEach(
                 (name, s) -> all.add(new SourceStatus(name, s.rank, s.revision, s.entries.size(), s.heardAtMicros)));
@@ -141,13 +142,13 @@
         Map<String, Entry> bestEntries = new LinkedHashMap<>();
         Map<String, Integer> bestRanks = new HashMap<>();
         Set<String> drainingUids = new LinkedHashSet<>();
-        for (Source s : sources.values()) {
-            s.drainEndMicrosByUid
+        for (Source source : sources.values()) {
+            source.drainEndMicrosByUid
                     .entrySet()
-                    .removeIf(e -> e.getValue() <= now && s.drainingEntriesByUid.remove(e.getKey()) != null);
-            for (Entry e : s.entries.values()) {
-                if (s.rank < bestRanks.getOrDefault(e.uid(), Integer.MAX_VALUE)) {
-                    bestRanks.put(e.uid(), s.rank);
+                    .removeIf(e -> e.getValue() <= now && source.droppedEntriesByUid.remove(e.getKey()) != null);
+            for (Entry e : source.entries.values()) {
+                if (source.rank < bestRanks.getOrDefault(e.uid(), Integer.MAX_VALUE)) {
+                    bestRanks.put(e.uid(), source.rank);
                     bestEntries.put(e.uid(), e);
                 }
                 if (e.state() == State.TERMINATING) {
@@ -155,11 +156,11 @@
                 }
             }
         }
-        // What nobody names any more, but somebody did just now.
-        for (Source s : sources.values()) {
-            for (String uid : s.drainEndMicrosByUid.keySet()) {
+        // Servers that no source lists any more and whose grace is still running.
+        for (Source source : sources.values()) {
+            for (String uid : source.drainEndMicrosByUid.keySet()) {
                 if (!bestRanks.containsKey(uid)) {
-                    bestEntries.putIfAbsent(uid, s.drainingEntriesByUid.get(uid));
+                    bestEntries.putIfAbsent(uid, source.droppedEntriesByUid.get(uid));
                     drainingUids.add(uid);
                 }
             }
@@ -181,7 +182,7 @@
                 e.bootMicros());
     }
 
-    /** What makes the second list of the first; applied to it, it gives the second. */
+    /** The changes that, applied to the first list, give the second. */
     static Update diff(long revision, Map<String, Entry> from, Map<String, Entry> to) {
         List<Entry> changed = new ArrayList<>();
         for (Entry e : to.values()) {
--- a/src/main/java/barrowshore/status/SchedulerCounters.java
+++ b/src/main/java/barrowshore/status/SchedulerCounters.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The counts behind {@link SchedulerMetrics}, each raised where the thing happens, by the one actor that owns them.
- * Classes keep their counts after they have vanished. It decides nothing and must never be shared.
+ * The counters behind {@link SchedulerMetrics}, incremented by the one actor that owns them; not thread-safe. A job class
+ * keeps its counts after it has been removed from the settings.
  */
 public final class SchedulerCounters {
-    /** How a job ended, as operators count it. */
+    /** How a job ended, as reported to operators. */
     public enum Outcome {
         PASSED,
         DROPPED,
@@ -21,7 +21,7 @@
     private long reloads;
     private long failedReloads;
 
-    /** The classes by their numbers; one that is new starts at 0, one that is known goes on. */
+    /** Sets the class names by class number. New classes start at 0; known ones keep their counts. */
     public void setClasses(List<String> updatedNames) {
         for (int k = classNames.size(); k < updatedNames.size(); k++) {
             classNames.add(updatedNames.get(k));
@@ -37,7 +37,7 @@
         attempts++;
     }
 
-    /** A file was read at SIGHUP. */
+    /** Counts a file read at SIGHUP, as accepted or failed. */
     public void countReload(boolean accepted) {
         reloads += accepted ? 1 : 0;
         failedReloads += accepted ? 0 : 1;
--- a/src/main/java/barrowshore/status/SchedulerMetrics.java
+++ b/src/main/java/barrowshore/status/SchedulerMetrics.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a scheduler reports of itself, at one moment, as a whole; its names are those that the operators' tools read. A
- * value: whoever counts makes a new one, and it must never change once it is handed out.
+ * An immutable snapshot of a scheduler's metrics, made by {@link SchedulerCounters}. The names in the text form are read by
+ * operators' tools.
  */
 public record SchedulerMetrics(
         boolean ready,
@@ -15,12 +15,12 @@
         int skippedWorkers,
         long reloads,
         long failedReloads) {
-    /** Final answers to jobs of one class since the start. */
+    /** Final answers to the jobs of one class since the scheduler started. */
     public record ClassCounts(String name, long passed, long dropped, long badGateway) {}
 
     public static final SchedulerMetrics NONE = new SchedulerMetrics(false, List.of(), 0, 0, 0, 0, 0, 0);
 
-    /** The figures as text, one a line. */
+    /** The metrics as text, one name=value per line. */
     public String metricLines() {
         StringBuilder out = new StringBuilder(512);
         classes.forEach(c -> appendMetric(out, "passed." + c.name, c.passed));
--- a/src/main/java/barrowshore/status/ServiceState.java
+++ b/src/main/java/barrowshore/status/ServiceState.java
@@ -1,13 +1,16 @@
 package barrowshore.status;
 
 /**
- * Where a scheduler stands towards its clients: serving, sent away by the operators, or ending. A pure state machine:
- * it says what follows from an order, and what clients are told and how their connections go on in each state; it must
- * never know a clock, a connection or who reads it. {@code changeCount} counts the changes, so that what was set for
- * later can tell whether it is still wanted. An end is for good: nothing brings a scheduler back from it.
+ * A scheduler's service state towards its clients: serving, drained by operators, or ending, which is final. An immutable
+ * state machine without clock or I/O: each command returns the next state.
+ *
+ * @param phase the current phase
+ * @param drained whether operators have sent the clients away
+ * @param closingConnections whether each answer is the last on its connection
+ * @param changeCount the number of changes, from which a delayed task can tell whether it is still valid
  */
 public record ServiceState(Phase phase, boolean drained, boolean closingConnections, int changeCount) {
-    /** What it is there for now. */
+    /** What a scheduler is doing for its clients. */
     public enum Phase {
         SERVING,
         DRAINED,
@@ -16,22 +19,22 @@
 
     public static final ServiceState SERVING = new ServiceState(Phase.SERVING, false, false, 0);
 
-    /** The operators send clients away; said again, or while it ends, it changes nothing. */
+    /** Operators send the clients away. No effect if already drained or ending. */
     public ServiceState drain() {
         return phase == Phase.SERVING ? new ServiceState(Phase.DRAINED, true, true, changeCount + 1) : this;
     }
 
-    /** The operators want it back at work. */
+    /** Operators end the drain. No effect in any other phase. */
     public ServiceState activate() {
         return phase == Phase.DRAINED ? new ServiceState(Phase.SERVING, false, false, changeCount + 1) : this;
     }
 
-    /** It has been told to end; clients that were sent away go on leaving, others may stay for now. */
+    /** Shutdown begins. If drained, connections keep closing; otherwise they stay until {@link #closeConnections}. */
     public ServiceState end() {
         return phase == Phase.ENDING ? this : new ServiceState(Phase.ENDING, drained, drained, changeCount + 1);
     }
 
-    /** While it ends: clients are to leave from now on. */
+    /** While ending, closes each connection after its next answer. No effect in any other phase. */
     public ServiceState closeConnections() {
         return phase != Phase.ENDING || closingConnections
                 ? this
@@ -42,12 +45,12 @@
         return phase == Phase.ENDING;
     }
 
-    /** Whether a front that asks may be told yes, as far as this goes; an end by itself has its own time for that. */
+    /** Whether a load balancer's readiness check may pass; a shutdown without drain fails it separately, at its own time. */
     public boolean acceptsClients() {
         return !drained;
     }
 
-    /** Whether each answer is the last on its connection. */
+    /** Whether to close each connection after its next answer. */
     public boolean closesAfterAnswer() {
         return closingConnections;
     }
--- a/src/test/java/barrowshore/list/ServerListMergerTest.java
+++ b/src/test/java/barrowshore/list/ServerListMergerTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The one list worked out from several sources. */
+/** Merging the lists of several sources: precedence, drains and graces. */
 class ServerListMergerTest {
     private static final long SECOND_MICROS = 1_000_000;
 
@@ -36,7 +36,7 @@
         return entries;
     }
 
-    /** What one who is told only changes makes of them. */
+    /** Applies changes to a copy of the list, as a receiver that is sent only changes does. */
     private static void apply(Map<String, Entry> list, Update changes) {
         assertThat(changes.full()).isFalse();
         for (Entry e : changes.entries()) {
@@ -109,7 +109,7 @@
         assertThat(byUid(merger.currentList())).containsOnlyKeys("a");
     }
 
-    /** Changes, one after the other, always add up to the list; and in the end only the last word of each counts. */
+    /** Applied in order, the changes always give the current list; in the end it depends only on each source's last list. */
     @Property(tries = 200, seed = "20261201")
     void appliedChangesMatchTheMergeOfFinalLists(@ForAll long seed) {
         Random random = new Random(seed);
--- a/src/test/java/barrowshore/status/ServiceStateTest.java
+++ b/src/test/java/barrowshore/status/ServiceStateTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The transitions between serving, drained and ending, and what each state means for clients. */
 class ServiceStateTest {
     private static final ServiceState SERVING = ServiceState.SERVING, DRAINED = SERVING.drain(), ENDING = SERVING.end();
 
