--- a/src/main/java/barrowshore/peer/PeerMessenger.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -17,21 +17,22 @@
 import java.util.function.Consumer;
 
 /**
- * The other schedulers' side: datagrams out to all of them and in from each. An actor; it owns the one UDP socket and
- * the thread that waits on it. It must never wait for a peer, never read what the module's datagrams say, and never hand
- * one on whose sender is not in the list of peers. One datagram is its own: a single byte says that its sender is ending,
- * so that the others, told to end soon after, know that there is nobody yet for their clients to go to.
+ * Sends datagrams to all peers (the other schedulers) and receives theirs. An actor that owns the UDP socket and the thread
+ * that reads it. It never waits for a peer, never interprets the module's datagrams, and never passes on one whose sender
+ * is not in the list of peers. One datagram is its own: a single byte announces that its sender is shutting down, so that
+ * schedulers told to end soon after know that this one cannot take their clients.
  */
 public final class PeerMessenger {
     private static final System.Logger LOG = System.getLogger("barrowshore.peer.PeerSide");
     private static final byte[] ENDING_DATAGRAM = {0};
-    /** Milliseconds in which a peer is heard of for sure; after which one that was ending is back. */
+    /** A running peer sends something within this time; after longer silence it counts as down. */
     private static final long PEER_ALIVE_MILLIS = 2_000;
 
+    /** A peer that still sends this long after its last announcement of an end has been restarted. */
     private static final long ENDING_VALID_MILLIS = 8_000;
-    /** Times that our end is told, since datagrams are lost. */
+    /** The announcement is repeated because datagrams may be lost. */
     private static final int ENDING_REPEATS = 3;
-    /** No datagram may be longer. */
+
     private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final Config.PeerConfig addresses;
@@ -39,15 +40,16 @@
     private final Mailbox mailbox;
     private final BiConsumer<Integer, byte[]> listener;
     private final Clock clock;
-    /** When each peer was heard last, and when it said that it is ending. */
+    /** When each peer's last datagram came, by peer number. */
     private final Map<Integer, Long> heardAtMicros = new HashMap<>();
 
+    /** When each peer last announced its end, by peer number. */
     private final Map<Integer, Long> endingAtMicros = new HashMap<>();
 
-    /** What we tell nobody, because another process speaks for us: one not yet in service, or one that has been followed. */
+    /** Sends nothing while another process of this scheduler does: before this one serves, or once its successor does. */
     private boolean quiet;
 
-    /** Hears and speaks at the address; shared: another process of ours may be there too. */
+    /** Opens the socket; with sharedAddress another process of this scheduler may be bound to the same address. */
     public PeerMessenger(
             Config.PeerConfig addresses,
             boolean sharedAddress,
@@ -58,7 +60,7 @@
         this.addresses = addresses;
         this.clock = clock;
         this.listener = listener;
-        this.mailbox = new Mailbox("the peers", pool);
+        this.mailbox = new Mailbox("the peer messenger", pool);
         this.channel = DatagramChannel.open();
         try {
             if (sharedAddress) {
@@ -74,10 +76,10 @@
         receiver.start();
     }
 
-    /** Tells all peers; what cannot be sent is lost, as it may be on its way. */
+    /** Sends a datagram to all peers, without retry: datagrams may be lost on the way in any case. */
     public void broadcast(byte[] message) {
         if (message.length > MAX_DATAGRAM_BYTES) {
-            LOG.log(Level.ERROR, "a message of {0} bytes to the peers is not sent", message.length);
+            LOG.log(Level.ERROR, "datagram of {0} bytes to the peers dropped: over the size limit", message.length);
             return;
         }
         mailbox.post(() -> {
@@ -87,17 +89,17 @@
             try {
                 channel.send(ByteBuffer.wrap(message), addresses.broadcast());
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "a message to the peers is lost", e);
+                LOG.log(Level.DEBUG, "datagram to the peers could not be sent; it is dropped", e);
             }
         });
     }
 
-    /** Whether another process speaks for us: two at once would take back one another's figures. */
+    /** Stops or resumes sending: two processes sending as one scheduler would overwrite each other's reports at peers. */
     public void setQuiet(boolean enabled) {
         mailbox.post(() -> quiet = enabled);
     }
 
-    /** Tells the others that we are ending, and the asker whether one of them can take our clients. */
+    /** Announces the end of this scheduler, and tells the callback whether a peer is running that can take its clients. */
     public void announceEnd(Consumer<Boolean> othersServe) {
         for (int k = 0; k < ENDING_REPEATS; k++) {
             broadcast(ENDING_DATAGRAM);
@@ -136,19 +138,20 @@
             } catch (ClosedChannelException e) {
                 return;
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "a receive failed", e); // a peer that is down may show here as a refusal
+                // A peer that is down may show up here as a refused connection.
+                LOG.log(Level.DEBUG, "receiving a datagram from the peers failed; trying again", e);
             }
         }
     }
 
-    /** Another process of ours hears them from now on, and speaks for us. */
+    /** Stops sending and closes the socket: from now on another process of this scheduler talks to the peers. */
     public void stopReceiving() {
         setQuiet(true);
         mailbox.post(() -> {
             try {
                 channel.close();
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "a close failed", e);
+                LOG.log(Level.DEBUG, "closing the peer socket failed", e);
             }
         });
     }
--- a/src/main/java/barrowshore/upgrade/UpgradeLink.java
+++ b/src/main/java/barrowshore/upgrade/UpgradeLink.java
@@ -17,23 +17,23 @@
 import java.util.concurrent.Executor;
 
 /**
- * The other process of an upgrade: a line of text each over a Unix socket in the folder that both share. An actor; it owns
- * the socket's file, the listener behind it, the links to the process before and the one after, and the threads that wait
- * on them. Whoever listens there is alive: a file that a dead process left is replaced. It must never keep a scheduler from
- * starting or serving: without the link, two processes only know less of one another.
+ * The link between the old and the new process of an upgrade: lines of text over a Unix socket in a shared directory. An
+ * actor that owns the socket file and its listener, the connections to the predecessor and the successor process, and the
+ * threads that read them. A socket file without a listening process is stale and is replaced. Failures never keep a
+ * scheduler from starting or serving: without the link the processes only know less about each other.
  */
 public final class UpgradeLink {
     private static final System.Logger LOG = System.getLogger("barrowshore.upgrade.Twin");
 
-    /** What is heard of the other process; called in this actor's mailbox. */
+    /** Receives events of the link; called in this actor's mailbox. */
     public interface Listener {
-        /** A line from the process before us (else after us). */
+        /** A line has come from the predecessor, or else from the successor. */
         void lineReceived(boolean fromPredecessor, String line);
 
-        /** A process after us has come up and wants to know what we know. */
+        /** A successor has connected and expects this process's state. */
         void successorConnected();
 
-        /** The link has ended, and as good as always its process. */
+        /** The connection has closed, almost always because its process has ended. */
         void linkClosed(boolean toPredecessor);
     }
 
@@ -44,15 +44,15 @@
     private SocketChannel predecessor;
     private SocketChannel successor;
 
-    /** Looks for a process before us; {@link #start} tells of it, and lets the next one find us. */
+    /** Connects to the predecessor, if there is one; {@link #start} begins to read from it and to accept a successor. */
     public UpgradeLink(Path socketFile, Executor pool, Listener listener) {
         this.socketFile = socketFile;
         this.listener = listener;
-        this.mailbox = new Mailbox("the twin", pool);
+        this.mailbox = new Mailbox("the upgrade link", pool);
         this.predecessor = connectToPredecessor();
     }
 
-    /** Whether a process was there before us as we came up. */
+    /** Whether a predecessor was running when this process started. */
     public boolean foundPredecessor() {
         return predecessor != null;
     }
@@ -64,11 +64,12 @@
             channel.connect(UnixDomainSocketAddress.of(socketFile));
             return channel;
         } catch (IOException | RuntimeException e) {
-            close(channel); // none there, or one that is dead, or no such sockets here
+            close(channel); // no predecessor, a stale socket file, or no Unix sockets on this system
             return null;
         }
     }
 
+    /** Replaces the socket file, listens for a successor, and reads from the predecessor. */
     public void start() {
         SocketChannel existing = predecessor;
         listenForSuccessor();
@@ -85,7 +86,7 @@
             newServer.bind(UnixDomainSocketAddress.of(socketFile), 2);
             server = newServer;
             ServerSocketChannel listening = newServer;
-            startThread("the next process", () -> {
+            startThread("upgrade-accept", () -> {
                 while (listening.isOpen()) {
                     SocketChannel channel = listening.accept();
                     mailbox.post(() -> acceptSuccessor(channel));
@@ -93,7 +94,10 @@
             });
         } catch (IOException | RuntimeException e) {
             close(newServer);
-            LOG.log(Level.WARNING, "a new version will not be told what we know: {0}", e.getMessage());
+            LOG.log(
+                    Level.WARNING,
+                    "cannot listen on the upgrade socket; a new version would start without the state of this process: {0}",
+                    e.getMessage());
         }
     }
 
@@ -105,7 +109,7 @@
     }
 
     private void startReader(SocketChannel channel, boolean fromPredecessor) {
-        startThread(fromPredecessor ? "the process before" : "the process after", () -> {
+        startThread(fromPredecessor ? "upgrade-predecessor" : "upgrade-successor", () -> {
             try (BufferedReader in = new BufferedReader(
                     new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -125,14 +129,14 @@
             listener.linkClosed(true);
         } else if (channel == successor) {
             successor = null;
-            // It had put its own socket in the place of ours; the next one is to find us again.
+            // The successor had replaced the socket file with its own; listen again for the next one.
             close(server);
             listenForSuccessor();
             listener.linkClosed(false);
         }
     }
 
-    /** Tells the other process: the one before us, or the one after. What cannot be told is lost with the link. */
+    /** Sends a line to the predecessor, or else to the successor; dropped if there is no connection or it fails. */
     public void send(boolean toPredecessor, String line) {
         mailbox.post(() -> {
             SocketChannel target = toPredecessor ? predecessor : successor;
@@ -143,7 +147,8 @@
                         target.write(bytes);
                     }
                 } catch (IOException e) {
-                    LOG.log(Level.DEBUG, "the twin is not told", e); // its reader hears of the end
+                    // The reader thread sees the closed connection and cleans up.
+                    LOG.log(Level.DEBUG, "a line to the other process of the upgrade was not sent", e);
                 }
             }
         });
@@ -159,7 +164,7 @@
                     try {
                         task.run();
                     } catch (IOException e) {
-                        LOG.log(Level.DEBUG, name + " is heard no more", e);
+                        LOG.log(Level.DEBUG, name + ": stopped, its socket was closed or failed", e);
                     }
                 },
                 name);
@@ -172,12 +177,12 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "a close failed", e);
+                LOG.log(Level.DEBUG, "closing a socket of the upgrade link failed", e);
             }
         }
     }
 
-    /** Ends the links; the file stays to whoever has it now. */
+    /** Closes all connections; the socket file stays, since a successor may own it by now. */
     public void stop() {
         mailbox.post(() -> {
             close(server);
--- a/src/test/java/barrowshore/peer/PeerMessengerTest.java
+++ b/src/test/java/barrowshore/peer/PeerMessengerTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Datagrams as they cross: ours to all, those of peers by number, nobody else's, none too long, and who is ending. */
+/**
+ * Broadcasts reach all peers. Received datagrams are passed on by peer number, unless from strangers or too long. A peer
+ * that is silent or has announced its end does not count as serving.
+ */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PeerMessengerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -47,7 +50,7 @@
                     Runnable::run,
                     new Clock(0, timeNanos::get),
                     (from, message) -> received.add(from + " " + HexFormat.of().formatHex(message)));
-            messenger.broadcast(new byte[257]); // not sent: a longer one is forbidden
+            messenger.broadcast(new byte[257]); // over the size limit: must not be sent
             messenger.broadcast(new byte[] {1, 2, 3});
             DatagramPacket packet = new DatagramPacket(new byte[300], 300);
             peer.receive(packet);
@@ -63,27 +66,33 @@
             ownSocket.send(new DatagramPacket(new byte[] {1, 1}, 2, packet.getSocketAddress()));
             assertThat(received.take()).isEqualTo("0 0101");
             assertThat(othersServe(messenger))
-                    .as("only our own come back from the address of all")
+                    .as("only our own datagrams came back from the broadcast address")
                     .isFalse();
             peer.receive(packet);
             peer.receive(packet);
             peer.receive(packet);
             peer.send(new DatagramPacket(new byte[] {5, 6}, 2, packet.getSocketAddress()));
             assertThat(received.take()).isEqualTo("1 0506");
-            assertThat(othersServe(messenger)).as("the peer was heard just now").isTrue();
+            assertThat(othersServe(messenger))
+                    .as("the peer has just sent a datagram")
+                    .isTrue();
             peer.receive(packet);
-            assertThat(packet.getLength()).as("it is told that we are ending").isEqualTo(1);
+            assertThat(packet.getLength())
+                    .as("the peer gets our one-byte announcement of an end")
+                    .isEqualTo(1);
             peer.send(new DatagramPacket(new byte[] {0}, 1, packet.getSocketAddress()));
             peer.send(new DatagramPacket(new byte[] {7, 8}, 2, packet.getSocketAddress()));
             assertThat(received.take()).isEqualTo("1 0708");
             assertThat(othersServe(messenger))
-                    .as("it is ending, though it still tells")
+                    .as("the peer is ending, though it still sends")
                     .isFalse();
             timeNanos.addAndGet(9_000_000_000L);
-            assertThat(othersServe(messenger)).as("long not heard of").isFalse();
+            assertThat(othersServe(messenger))
+                    .as("the peer has been silent for long")
+                    .isFalse();
             peer.send(new DatagramPacket(new byte[] {7, 8}, 2, packet.getSocketAddress()));
             assertThat(received.take()).isEqualTo("1 0708");
-            assertThat(othersServe(messenger)).as("it is back").isTrue();
+            assertThat(othersServe(messenger)).as("the peer was restarted").isTrue();
             messenger.stop();
         }
     }
--- a/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
+++ b/src/test/java/barrowshore/upgrade/UpgradeLinkTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Processes connect over the socket file in order, exchange lines, and survive stale files and unusable paths. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class UpgradeLinkTest {
     @TempDir
@@ -28,7 +29,7 @@
         pool.shutdownNow();
     }
 
-    /** A process and what it has heard. */
+    /** One process of an upgrade, and the link events it has received. */
     private final class LinkedProcess implements UpgradeLink.Listener {
         final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         final UpgradeLink link = new UpgradeLink(directory.resolve("t"), pool, this);
@@ -44,12 +45,12 @@
 
         @Override
         public void successorConnected() {
-            events.add("joined");
+            events.add("successor connected");
         }
 
         @Override
         public void linkClosed(boolean toPredecessor) {
-            events.add("left " + toPredecessor);
+            events.add("closed, to predecessor: " + toPredecessor);
         }
     }
 
@@ -59,25 +60,25 @@
         assertThat(first.link.foundPredecessor()).isFalse();
         LinkedProcess second = new LinkedProcess();
         assertThat(second.link.foundPredecessor()).isTrue();
-        assertThat(first.events.take()).isEqualTo("joined");
+        assertThat(first.events.take()).isEqualTo("successor connected");
         second.link.send(true, "serving");
         assertThat(first.events.take()).isEqualTo("after: serving");
         first.link.send(false, "away");
         assertThat(second.events.take()).isEqualTo("before: away");
         first.link.stop();
-        assertThat(second.events.take()).isEqualTo("left true");
+        assertThat(second.events.take()).isEqualTo("closed, to predecessor: true");
     }
 
     @Test
     void newSuccessorConnectsAfterTheLastOneDied() throws Exception {
         LinkedProcess first = new LinkedProcess();
         LinkedProcess second = new LinkedProcess();
-        assertThat(first.events.take()).isEqualTo("joined");
+        assertThat(first.events.take()).isEqualTo("successor connected");
         second.link.stop();
-        assertThat(first.events.take()).isEqualTo("left false");
+        assertThat(first.events.take()).isEqualTo("closed, to predecessor: false");
         LinkedProcess third = new LinkedProcess();
         assertThat(third.link.foundPredecessor()).isTrue();
-        assertThat(first.events.take()).isEqualTo("joined");
+        assertThat(first.events.take()).isEqualTo("successor connected");
     }
 
     @Test
