--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -30,7 +30,7 @@
 
         int incarnation;
         int sequence;
-        long heardAtMicros;
+        long lastDatagramMicros;
         final NavigableMap<Integer, RangeSlots> slotsByName = new TreeMap<>();
     }
 
@@ -77,7 +77,7 @@
         peer.hasReported = true;
         peer.incarnation = snapshot.incarnation();
         peer.sequence = snapshot.sequence();
-        peer.heardAtMicros = now;
+        peer.lastDatagramMicros = now;
         replaceRange(peer, snapshot);
         return true;
     }
@@ -148,7 +148,7 @@
     }
 
     private boolean isSilent(long now, Peer peer) {
-        return now - peer.heardAtMicros > silenceMicros;
+        return now - peer.lastDatagramMicros > silenceMicros;
     }
 
     /** Whether a scheduler has sent nothing for longer than the silence limit, or never. */
@@ -158,11 +158,11 @@
 
     /** The share of the other schedulers that are silent, from 0 to 1. */
     public double silentShare(long now) {
-        int heard = 0;
+        int activePeers = 0;
         for (Peer peer : peers) {
-            heard += peer != null && !isSilent(now, peer) ? 1 : 0;
+            activePeers += peer != null && !isSilent(now, peer) ? 1 : 0;
         }
-        return peers.length < 2 ? 0 : 1 - heard / (peers.length - 1.0);
+        return peers.length < 2 ? 0 : 1 - activePeers / (peers.length - 1.0);
     }
 
     /** Stored entries over all peers. */
--- a/src/main/java/barrowshore/exchange/SlotSnapshot.java
+++ b/src/main/java/barrowshore/exchange/SlotSnapshot.java
@@ -74,7 +74,7 @@
         return from == 0 && to == NAME_LIMIT;
     }
 
-    /** Builds one datagram entry by entry and tells the sender when it is full. */
+    /** Builds one datagram entry by entry and reports when it is full. */
     static final class Writer {
         private final ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         private final int nameBits;
--- a/src/main/java/barrowshore/list/ServerListMerger.java
+++ b/src/main/java/barrowshore/list/ServerListMerger.java
@@ -28,7 +28,7 @@
         final int rank;
         long graceMicros;
         long revision;
-        long heardAtMicros;
+        long lastUpdateMicros;
         Map<String, Entry> entries = new LinkedHashMap<>();
         final Map<String, Long> drainEndMicrosByUid = new HashMap<>();
         final Map<String, Entry> droppedEntriesByUid = new HashMap<>();
@@ -40,7 +40,7 @@
     }
 
     /** A source's rank, list revision, number of servers, and time of its last update in microseconds. */
-    public record SourceStatus(String source, int rank, long revision, int servers, long heardAtMicros) {}
+    public record SourceStatus(String source, int rank, long revision, int servers, long lastUpdateMicros) {}
 
     private final Map<String, Source> sources = new LinkedHashMap<>();
     private Map<String, Entry> publishedEntries = new LinkedHashMap<>();
@@ -67,7 +67,7 @@
     public Update apply(long now, String name, Update update) {
         Source source = requireSource(name);
         source.revision = update.revision();
-        source.heardAtMicros = now;
+        source.lastUpdateMicros = now;
         Map<String, Entry> next = update.full() ? new LinkedHashMap<>() : new LinkedHashMap<>(source.entries);
         for (Entry e : update.entries()) {
             if (e.state() == State.GONE) {
@@ -127,7 +127,7 @@
     public List<SourceStatus> sourceStatuses() {
         List<SourceStatus> all = new ArrayList<>();
         sources.forEach(
-                (name, s) -> all.add(new SourceStatus(name, s.rank, s.revision, s.entries.size(), s.heardAtMicros)));
+                (name, s) -> all.add(new SourceStatus(name, s.rank, s.revision, s.entries.size(), s.lastUpdateMicros)));
         return all;
     }
 
--- a/src/main/java/barrowshore/peer/PeerMessenger.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -41,10 +41,10 @@
     private final BiConsumer<Integer, byte[]> listener;
     private final Clock clock;
     /** When each peer's last datagram came, by peer number. */
-    private final Map<Integer, Long> heardAtMicros = new HashMap<>();
+    private final Map<Integer, Long> lastDatagramMicros = new HashMap<>();
 
     /** When each peer last announced its end, by peer number. */
-    private final Map<Integer, Long> endingAtMicros = new HashMap<>();
+    private final Map<Integer, Long> endAnnouncedMicros = new HashMap<>();
 
     /** Sends nothing while another process of this scheduler does: before this one serves, or once its successor does. */
     private boolean quiet;
@@ -106,18 +106,18 @@
         }
         mailbox.post(() -> {
             long now = clock.micros();
-            othersServe.accept(heardAtMicros.entrySet().stream()
+            othersServe.accept(lastDatagramMicros.entrySet().stream()
                     .anyMatch(peer -> peer.getKey() != addresses.ownNumber()
                             && now - peer.getValue() <= PEER_ALIVE_MILLIS * 1000
-                            && now - endingAtMicros.getOrDefault(peer.getKey(), Long.MIN_VALUE / 2)
+                            && now - endAnnouncedMicros.getOrDefault(peer.getKey(), Long.MIN_VALUE / 2)
                                     > ENDING_VALID_MILLIS * 1000));
         });
     }
 
     private void handleDatagram(int peer, byte[] message) {
-        heardAtMicros.put(peer, clock.micros());
+        lastDatagramMicros.put(peer, clock.micros());
         if (message.length == ENDING_DATAGRAM.length) {
-            endingAtMicros.put(peer, clock.micros());
+            endAnnouncedMicros.put(peer, clock.micros());
         } else {
             listener.accept(peer, message);
         }
--- a/src/test/java/barrowshore/peer/PeerMessengerTest.java
+++ b/src/test/java/barrowshore/peer/PeerMessengerTest.java
@@ -66,7 +66,7 @@
             ownSocket.send(new DatagramPacket(new byte[] {1, 1}, 2, packet.getSocketAddress()));
             assertThat(received.take()).isEqualTo("0 0101");
             assertThat(othersServe(messenger))
-                    .as("only our own datagrams came back from the broadcast address")
+                    .as("the only datagrams received were its own, back from the broadcast address")
                     .isFalse();
             peer.receive(packet);
             peer.receive(packet);
@@ -78,7 +78,7 @@
                     .isTrue();
             peer.receive(packet);
             assertThat(packet.getLength())
-                    .as("the peer gets our one-byte announcement of an end")
+                    .as("the peer gets the one-byte announcement of the end")
                     .isEqualTo(1);
             peer.send(new DatagramPacket(new byte[] {0}, 1, packet.getSocketAddress()));
             peer.send(new DatagramPacket(new byte[] {7, 8}, 2, packet.getSocketAddress()));
