--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -5,179 +5,186 @@
 import java.util.TreeMap;
 
 /**
- * What the other schedulers have told of their slots in flight. Sums are kept by the {@link SlotSums} of the caller, which
- * hears of each difference as it comes, so that nothing is ever added up over all peers and workers. Pure: time is what the
- * caller says, in microseconds.
+ * The slots in flight that the other schedulers (peers) last reported, per worker name (see {@link SlotSnapshot#nameOf}).
+ * Each difference goes to the caller's {@link SlotSums}, so that no sum over all peers and workers is ever recomputed. Does
+ * no I/O; the caller passes the time in microseconds.
  */
 public final class PeerSlots {
-    /** The sums by worker over all peers. */
+    /** Receives changes to the sums over all peers, kept per worker. */
     public interface SlotSums {
         /**
-         * The slots at all workers whose full names are in a range have changed by so many; false if there is none, in
-         * which case the figure is not kept.
+         * Adds the difference to the sum of the workers whose full names are in [from, to). Returns false if there is no
+         * such worker; the reported entry is then not stored.
          */
         boolean add(int from, int to, int difference);
     }
 
-    /** One figure of a peer: for the full names from its key on, up to that one. */
-    private record Figure(int to, int slots) {}
+    /** The slots a peer reported for the full names from the map key to rangeEnd, exclusive. */
+    private record RangeSlots(int rangeEnd, int slots) {}
 
+    /** One peer: its last datagram's place in the order, and the slots it reported. */
     private static final class Peer {
-        boolean known;
-        /** Whether its figures are in the sums; those of a silent peer are kept, but do not count. */
+        boolean hasReported;
+        /** Whether its slots are included in the sums; those of a silent peer are stored but not included. */
         boolean counted;
 
         int incarnation;
         int sequence;
-        long heardAt;
-        final NavigableMap<Integer, Figure> figures = new TreeMap<>();
+        long lastDatagramMicros;
+        final NavigableMap<Integer, RangeSlots> slotsByName = new TreeMap<>();
     }
 
     private final Peer[] peers;
-    private final int me;
-    private final long silence;
+    private final int ownNumber;
+    private final long silenceMicros;
     private final SlotSums sums;
-    private long malformed;
+    private long malformedDatagrams;
     private long unknownWorkers;
     private long visits;
 
     /**
-     * For so many schedulers, of which this one has the number me.
-     *
-     * @param silence microseconds without a datagram after which what a peer has told counts no more
+     * @param schedulers the number of schedulers, this one included
+     * @param silenceMicros a peer without a datagram for longer than this is silent: its slots leave the sums
      */
-    public PeerSlots(int schedulers, int me, long silence, SlotSums sums) {
+    public PeerSlots(int schedulers, int ownNumber, long silenceMicros, SlotSums sums) {
         this.peers = new Peer[schedulers];
-        this.me = me;
-        this.silence = silence;
+        this.ownNumber = ownNumber;
+        this.silenceMicros = silenceMicros;
         this.sums = sums;
     }
 
-    /** Enters a datagram; false if it was dropped: malformed, of no peer, or overtaken by a later one. */
-    public boolean receive(long now, int from, byte[] message) {
-        SlotSnapshot snapshot = from < 0 || from >= peers.length || from == me ? null : SlotSnapshot.read(message);
+    /** Applies a datagram. Returns false if it was dropped: malformed, not from a peer, or not newer than the last one. */
+    public boolean receive(long now, int peerNumber, byte[] message) {
+        SlotSnapshot snapshot = peerNumber < 0 || peerNumber >= peers.length || peerNumber == ownNumber
+                ? null
+                : SlotSnapshot.read(message);
         if (snapshot == null) {
-            malformed++;
+            malformedDatagrams++;
             return false;
         }
-        if (peers[from] == null) {
-            peers[from] = new Peer();
+        if (peers[peerNumber] == null) {
+            peers[peerNumber] = new Peer();
         }
-        Peer peer = peers[from];
-        if (!inOrder(now, peer, snapshot)) {
+        Peer peer = peers[peerNumber];
+        if (!isNewer(now, peer, snapshot)) {
             return false;
         }
-        if (peer.known && peer.incarnation != snapshot.incarnation()) {
-            count(peer, false);
-            peer.figures.clear();
+        if (peer.hasReported && peer.incarnation != snapshot.incarnation()) {
+            setCounted(peer, false);
+            peer.slotsByName.clear();
         }
-        count(peer, true);
-        peer.known = true;
+        setCounted(peer, true);
+        peer.hasReported = true;
         peer.incarnation = snapshot.incarnation();
         peer.sequence = snapshot.sequence();
-        peer.heardAt = now;
-        replace(peer, snapshot);
+        peer.lastDatagramMicros = now;
+        replaceRange(peer, snapshot);
         return true;
     }
 
-    /** Whether the datagram is later than all before. One of a silent peer always is: its clock may have been set back. */
-    private boolean inOrder(long now, Peer peer, SlotSnapshot snapshot) {
-        if (!peer.known || isSilent(now, peer)) {
+    /**
+     * Whether the datagram is newer than the last one applied. After silence any datagram is accepted, since the peer's
+     * clock, from which the incarnation comes, may have been set back.
+     */
+    private boolean isNewer(long now, Peer peer, SlotSnapshot snapshot) {
+        if (!peer.hasReported || isSilent(now, peer)) {
             return true;
         }
-        int life = snapshot.incarnation() - peer.incarnation;
-        return life > 0 || life == 0 && (short) (snapshot.sequence() - peer.sequence) > 0;
+        int incarnationDifference = snapshot.incarnation() - peer.incarnation;
+        return incarnationDifference > 0
+                || incarnationDifference == 0 && (short) (snapshot.sequence() - peer.sequence) > 0;
     }
 
-    private void replace(Peer peer, SlotSnapshot snapshot) {
-        NavigableMap<Integer, Figure> covered = peer.figures.subMap(snapshot.from(), true, snapshot.to(), false);
-        Map<Integer, Figure> before = new TreeMap<>(covered);
+    private void replaceRange(Peer peer, SlotSnapshot snapshot) {
+        NavigableMap<Integer, RangeSlots> covered =
+                peer.slotsByName.subMap(snapshot.from(), true, snapshot.to(), false);
+        Map<Integer, RangeSlots> dropped = new TreeMap<>(covered);
         covered.clear();
-        int span = SlotSnapshot.span(snapshot.width());
+        int rangeLength = SlotSnapshot.namesPerPrefix(snapshot.nameBits());
         for (SlotSnapshot.Entry entry : snapshot.entries()) {
             visits++;
-            Figure after = new Figure(entry.name() + span, entry.slots());
-            Figure same = before.get(entry.name());
-            if (same != null && same.to == after.to) {
-                before.remove(entry.name());
-                keep(peer, entry.name(), after, after.slots - same.slots);
+            RangeSlots updated = new RangeSlots(entry.name() + rangeLength, entry.slots());
+            RangeSlots previous = dropped.get(entry.name());
+            if (previous != null && previous.rangeEnd == updated.rangeEnd) {
+                dropped.remove(entry.name());
+                store(peer, entry.name(), updated, updated.slots - previous.slots);
             } else {
-                keep(peer, entry.name(), after, after.slots);
+                store(peer, entry.name(), updated, updated.slots);
             }
         }
-        before.forEach((name, figure) -> {
+        dropped.forEach((name, old) -> {
             visits++;
-            sums.add(name, figure.to, -figure.slots);
+            sums.add(name, old.rangeEnd, -old.slots);
         });
     }
 
-    private void keep(Peer peer, int name, Figure figure, int difference) {
-        if (sums.add(name, figure.to, difference)) {
-            peer.figures.put(name, figure);
+    private void store(Peer peer, int name, RangeSlots rangeSlots, int difference) {
+        if (sums.add(name, rangeSlots.rangeEnd, difference)) {
+            peer.slotsByName.put(name, rangeSlots);
         } else {
             unknownWorkers++;
         }
     }
 
-    /** Puts the figures of a peer into the sums, or takes them back. */
-    private void count(Peer peer, boolean counted) {
+    /** Adds a peer's slots to the sums, or subtracts them. */
+    private void setCounted(Peer peer, boolean counted) {
         if (peer.counted == counted) {
             return;
         }
         peer.counted = counted;
-        peer.figures.forEach((name, figure) -> {
+        peer.slotsByName.forEach((name, rangeSlots) -> {
             visits++;
-            sums.add(name, figure.to, counted ? figure.slots : -figure.slots);
+            sums.add(name, rangeSlots.rangeEnd, counted ? rangeSlots.slots : -rangeSlots.slots);
         });
     }
 
-    /** Takes back what silent peers have told; it counts again once they are heard of in the same life. */
+    /** Subtracts the slots of silent peers; they count again with the peer's next datagram of the same incarnation. */
     public void expireSilentPeers(long now) {
         for (Peer peer : peers) {
             if (peer != null && peer.counted && isSilent(now, peer)) {
-                count(peer, false);
+                setCounted(peer, false);
             }
         }
     }
 
     private boolean isSilent(long now, Peer peer) {
-        return now - peer.heardAt > silence;
+        return now - peer.lastDatagramMicros > silenceMicros;
     }
 
-    /** Whether nothing has been heard of a scheduler for a while. */
-    boolean isSilent(long now, int number) {
-        return peers[number] == null || isSilent(now, peers[number]);
+    /** Whether a scheduler has sent nothing for longer than the silence limit, or never. */
+    boolean isSilent(long now, int peerNumber) {
+        return peers[peerNumber] == null || isSilent(now, peers[peerNumber]);
     }
 
-    /** The share of the other schedulers that is silent. */
+    /** The share of the other schedulers that are silent, from 0 to 1. */
     public double silentShare(long now) {
-        int heard = 0;
+        int activePeers = 0;
         for (Peer peer : peers) {
-            heard += peer != null && !isSilent(now, peer) ? 1 : 0;
+            activePeers += peer != null && !isSilent(now, peer) ? 1 : 0;
         }
-        return peers.length < 2 ? 0 : 1 - heard / (peers.length - 1.0);
+        return peers.length < 2 ? 0 : 1 - activePeers / (peers.length - 1.0);
     }
 
-    /** Figures held, over all peers. */
+    /** Stored entries over all peers. */
     public int figureCount() {
         int sum = 0;
         for (Peer peer : peers) {
-            sum += peer == null ? 0 : peer.figures.size();
+            sum += peer == null ? 0 : peer.slotsByName.size();
         }
         return sum;
     }
 
-    /** Datagrams dropped since they are of no form or no peer that is known here. */
+    /** Datagrams dropped because they were malformed or came from no known peer. */
     public long malformedDatagrams() {
-        return malformed;
+        return malformedDatagrams;
     }
 
-    /** Figures dropped since no worker of that name is known here. */
+    /** Reported entries dropped because no known worker matches their name. */
     public long unknownWorkers() {
         return unknownWorkers;
     }
 
-    /** Figures gone over so far. */
+    /** Entries processed so far, as a measure of work done. */
     public long visits() {
         return visits;
     }
--- a/src/main/java/barrowshore/list/ServerList.java
+++ b/src/main/java/barrowshore/list/ServerList.java
@@ -11,21 +11,23 @@
 import java.util.Map;
 
 /**
- * What a list of servers is, whoever tells it, and how discovery's JSON is read as one. It owns these forms alone:
- * pure, without a connection, a clock or an opinion on what a list says. It must never drop what it cannot read without
- * saying so.
+ * The server list as the scheduler uses it, whatever its source, and the parser of service discovery's JSON. Holds no state
+ * and does no I/O. Nothing unreadable is dropped silently: it is an error or is listed in the update.
  */
 public final class ServerList {
     private ServerList() {}
 
-    /** What a list says of a server. */
+    /** A server's state according to a list. */
     public enum State {
         READY,
         TERMINATING,
         GONE
     }
 
-    /** One entry of the list; bootMicros in Unix time, 0: long ago; zone -1: not known; address null: not told. */
+    /**
+     * One entry of the list. zone and kind: positions in {@link ZoneKindNames}, zone -1 if unknown; address: null if not
+     * given; bootMicros: Unix time, 0 for long ago.
+     */
     public record Entry(
             String uid,
             String endpoint,
@@ -36,7 +38,7 @@
             State state,
             double capacityHint,
             long bootMicros) {
-        /** The entry as the decision module takes it. */
+        /** Converts the entry for the decision module. */
         public Member toMember() {
             Health health =
                     switch (state) {
@@ -49,16 +51,16 @@
     }
 
     /**
-     * A version of the list: all of it, or what changed; unknown: the servers left out, of no known model. One that
-     * leaves is never left out: whatever else is said of it, nothing new may go there.
+     * A version of the list: all of it (full) or only changes. unknownServers: uids left out because their model is not in
+     * the settings. Servers that are terminating or gone are never left out, since they must get no new jobs.
      */
     public record Update(long revision, boolean full, List<Entry> entries, List<String> unknownServers) {
         /** A list from which nothing was left out. */
-        public Update(long rev, boolean all, List<Entry> entries) {
-            this(rev, all, entries, List.of());
+        public Update(long revision, boolean full, List<Entry> entries) {
+            this(revision, full, entries, List.of());
         }
 
-        /** The whole list that changes make of this whole one. */
+        /** Applies changes to this full list and returns the resulting full list. */
         public Update apply(Update changes) {
             Map<String, Entry> next = new LinkedHashMap<>();
             entries.forEach(e -> next.put(e.uid(), e));
@@ -69,10 +71,14 @@
         }
     }
 
-    /** The settings' names for zones and kinds, by position. */
+    /** The names of the zones and of the kinds (server models) in the settings, by position. */
     public record ZoneKindNames(List<String> zones, List<String> kinds) {}
 
-    /** Reads a list in discovery's form; an IllegalArgumentException names what is wrong. */
+    /**
+     * Reads a list in service discovery's JSON.
+     *
+     * @throws IllegalArgumentException naming the part that is wrong
+     */
     public static Update parse(Map<?, ?> json, ZoneKindNames names) {
         if (!(json.get("targets") instanceof List<?> targets)) {
             throw new IllegalArgumentException("targets is missing or not a list");
@@ -80,36 +86,36 @@
         List<Entry> entries = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
         for (Object target : targets) {
-            if (!(target instanceof Map<?, ?> t)
-                    || !(t.get("uid") instanceof String uid)
-                    || !(t.get("state") instanceof String state)) {
+            if (!(target instanceof Map<?, ?> fields)
+                    || !(fields.get("uid") instanceof String uid)
+                    || !(fields.get("state") instanceof String state)) {
                 throw new IllegalArgumentException("a target lacks its uid or state");
             }
-            String endpoint = t.get("endpoint") instanceof String s ? s : "";
-            int kind = names.kinds().indexOf(SettingsReader.normalizeName(t.get("model")));
+            String endpoint = fields.get("endpoint") instanceof String s ? s : "";
+            int kind = names.kinds().indexOf(SettingsReader.normalizeName(fields.get("model")));
             if (kind < 0 && !names.kinds().isEmpty() && state.equals("Ready")) {
-                unknown.add(uid); // guards the module against a kind that its settings do not name
+                unknown.add(uid); // the module must not get a kind that its settings do not have
                 continue;
             }
             entries.add(new Entry(
                     uid,
                     endpoint,
                     endpoint.isEmpty() ? null : Json.parseAddress(endpoint, "endpoint"),
-                    names.zones().indexOf(SettingsReader.normalizeName(t.get("az"))),
+                    names.zones().indexOf(SettingsReader.normalizeName(fields.get("az"))),
                     Math.max(0, kind),
-                    (int) number(t.get("pod_group"), 0),
+                    (int) numberOr(fields.get("pod_group"), 0),
                     switch (state) {
                         case "Ready" -> State.READY;
                         case "Gone" -> State.GONE;
-                        default -> State.TERMINATING; // the careful reading of a word not known
+                        default -> State.TERMINATING; // unknown states: the safe choice is no new jobs
                     },
-                    number(t.get("capacity_hint"), 1),
-                    (long) number(t.get("boot_ms"), 0) * 1000));
+                    numberOr(fields.get("capacity_hint"), 1),
+                    (long) numberOr(fields.get("boot_ms"), 0) * 1000));
         }
-        return new Update((long) number(json.get("rev"), 0), Boolean.TRUE.equals(json.get("all")), entries, unknown);
+        return new Update((long) numberOr(json.get("rev"), 0), Boolean.TRUE.equals(json.get("all")), entries, unknown);
     }
 
-    private static double number(Object value, double otherwise) {
-        return value instanceof Number n ? n.doubleValue() : otherwise;
+    private static double numberOr(Object value, double defaultValue) {
+        return value instanceof Number n ? n.doubleValue() : defaultValue;
     }
 }
--- a/src/main/java/barrowshore/list/ServerListChangePolicy.java
+++ b/src/main/java/barrowshore/list/ServerListChangePolicy.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * What a new servers' file may change at once. It judges, and changes nothing: a file that takes away too much is held
- * until a later revision carries {@code force}. Pure.
+ * Decides whether a new servers file may replace the one in use: a file that removes too much capacity is held until a later
+ * revision has {@code force}. Also formats lists and their differences. Has no state and changes nothing.
  */
 public final class ServerListChangePolicy {
-    /** What becomes of a file, and why. */
+    /** The outcome for a file and its reason. */
     public record Decision(Outcome outcome, String reason) {}
 
-    /** taken; the same as before; held until a later revision confirms it; refused. */
+    /** Accepted; equal to the file in use; held until a later revision confirms it; refused. */
     public enum Outcome {
         TAKEN,
         SAME,
@@ -26,8 +26,8 @@
 
     private ServerListChangePolicy() {}
 
-    /** Judges a file against the one in use (null: none). mostLost: the share of capacity that may go at once. */
-    public static Decision check(OperatorServerList inUse, OperatorServerList next, double mostLost) {
+    /** Compares a file with the one in use (null: none). maxLostShare: the share of capacity it may remove at once. */
+    public static Decision check(OperatorServerList inUse, OperatorServerList next, double maxLostShare) {
         if (inUse == null) {
             return next.servers().isEmpty() && !next.force()
                     ? new Decision(Outcome.HELD, "it names no server; force=\"true\" in a later revision confirms it")
@@ -49,61 +49,62 @@
         if (next.force()) {
             return new Decision(Outcome.TAKEN, "forced");
         }
-        Map<String, Double> had = capacity(inUse.servers().values()),
-                has = capacity(next.servers().values());
-        double before = had.values().stream().mapToDouble(w -> w).sum();
-        double lost = 0;
+        Map<String, Double> oldCapacityByHall = capacityByHall(inUse.servers().values()),
+                newCapacityByHall = capacityByHall(next.servers().values());
+        double oldCapacity =
+                oldCapacityByHall.values().stream().mapToDouble(w -> w).sum();
+        double lostCapacity = 0;
         for (Server s : inUse.servers().values()) {
-            Server now = next.servers().get(s.uid());
-            lost += Math.max(0, weight(s) - (now == null ? 0 : weight(now)));
+            Server nextServer = next.servers().get(s.uid());
+            lostCapacity += Math.max(0, usableCapacity(s) - (nextServer == null ? 0 : usableCapacity(nextServer)));
         }
-        if (has.isEmpty()) {
+        if (newCapacityByHall.isEmpty()) {
             return new Decision(
                     Outcome.HELD, "it leaves no server in use; force=\"true\" in a later revision confirms it");
         }
-        for (String hall : had.keySet()) {
-            if (!has.containsKey(hall)) {
+        for (String hall : oldCapacityByHall.keySet()) {
+            if (!newCapacityByHall.containsKey(hall)) {
                 return new Decision(
                         Outcome.HELD,
                         "it leaves hall " + hall + " empty; force=\"true\" in a later revision confirms it");
             }
         }
-        if (before > 0 && lost / before > mostLost) {
+        if (oldCapacity > 0 && lostCapacity / oldCapacity > maxLostShare) {
             return new Decision(
                     Outcome.HELD,
                     String.format(
                             Locale.ROOT,
                             "it takes %.0f%% of the capacity away, over %.0f%%;"
                                     + " force=\"true\" in a later revision confirms it",
-                            100 * lost / before,
-                            100 * mostLost));
+                            100 * lostCapacity / oldCapacity,
+                            100 * maxLostShare));
         }
         return new Decision(Outcome.TAKEN, "");
     }
 
-    private static double weight(Server s) {
+    private static double usableCapacity(Server s) {
         return s.drains() ? 0 : s.weight();
     }
 
-    private static Map<String, Double> capacity(Collection<Server> servers) {
+    private static Map<String, Double> capacityByHall(Collection<Server> servers) {
         Map<String, Double> byHall = new HashMap<>();
         for (Server s : servers) {
-            if (weight(s) > 0) {
-                byHall.merge(s.hall(), weight(s), Double::sum);
+            if (usableCapacity(s) > 0) {
+                byHall.merge(s.hall(), usableCapacity(s), Double::sum);
             }
         }
         return byHall;
     }
 
-    /** What one file makes of another, a line for each server that changes. */
+    /** The differences between two files: one line for each server added (+), changed (~) or removed (-). */
     public static List<String> diff(OperatorServerList from, OperatorServerList to) {
         List<String> lines = new ArrayList<>();
         for (Server s : to.servers().values()) {
-            Server was = from.servers().get(s.uid());
-            if (was == null) {
+            Server old = from.servers().get(s.uid());
+            if (old == null) {
                 lines.add("+ " + s.uid() + " " + describe(s));
-            } else if (!was.same(s)) {
-                lines.add("~ " + s.uid() + " " + describe(was) + " -> " + describe(s));
+            } else if (!old.same(s)) {
+                lines.add("~ " + s.uid() + " " + describe(old) + " -> " + describe(s));
             }
         }
         for (Server s : from.servers().values()) {
@@ -114,7 +115,7 @@
         return lines;
     }
 
-    /** The list, a line for each server. */
+    /** The list as text, one line for each server. */
     public static List<String> format(OperatorServerList file) {
         return file.servers().values().stream()
                 .map(s -> s.uid() + " " + describe(s))
