--- a/src/main/java/barrowshore/budget/ColdWorkerBudget.java
+++ b/src/main/java/barrowshore/budget/ColdWorkerBudget.java
@@ -16,56 +16,57 @@
  */
 public final class ColdWorkerBudget {
     /** A turn and its quiet end, in windows; the share of the whole that is used, against estimates that may be high. */
-    private static final double TURN = 4, QUIET = 1.1, USED = 0.85;
+    private static final double TURN_WINDOWS = 4, QUIET_WINDOWS = 1.1, USED_SHARE = 0.85;
     /** Usual jobs, as the classes' aims have them, for which a fully warm core has room in a track's window. */
-    private static final double TRACK_JOBS = 10;
+    private static final double JOBS_PER_TRACK = 10;
 
     /**
      * What all schedulers share: how many they are, this one's number from 0, the window in microseconds, and the number
-     * of tracks. startedAt: when this process started, {@link #LONG_AGO} if no turn of before can matter any more.
+     * of tracks. startedAt: when this process started, {@link #STARTED_LONG_AGO} if no turn of before can matter any more.
      */
-    public record Terms(int schedulers, int me, long window, int tracks, long startedAt) {
-        private static final long LONG_AGO = Long.MIN_VALUE / 2;
+    public record Terms(int schedulers, int ownIndex, long windowMicros, int tracks, long startedAt) {
+        private static final long STARTED_LONG_AGO = Long.MIN_VALUE / 2;
 
         public Terms {
-            if (schedulers < 1 || me < 0 || window <= 0 || tracks < 1) {
+            if (schedulers < 1 || ownIndex < 0 || windowMicros <= 0 || tracks < 1) {
                 throw new IllegalArgumentException("a turn needs a scheduler, a window and a track");
             }
         }
 
         /** Terms of a process that has been up for long. */
-        public Terms(int schedulers, int me, long window, int tracks) {
-            this(schedulers, me, window, tracks, LONG_AGO);
+        public Terms(int schedulers, int ownIndex, long windowMicros, int tracks) {
+            this(schedulers, ownIndex, windowMicros, tracks, STARTED_LONG_AGO);
         }
 
         /**
          * The terms of a process that started then. In a turn that had begun before, a process of the same name may have
          * sent what is due to the scheduler, and this one does not know: it sends nothing until the next turn.
          */
-        public Terms startedAt(long start) {
-            return new Terms(schedulers, me, window, tracks, start);
+        public Terms startedAt(long startTime) {
+            return new Terms(schedulers, ownIndex, windowMicros, tracks, startTime);
         }
 
         /** These terms for the process that had the others before, if any. */
-        public Terms keepStartOf(Terms before) {
-            return before == null ? this : startedAt(before.startedAt);
+        public Terms keepStartOf(Terms previous) {
+            return previous == null ? this : startedAt(previous.startedAt);
         }
 
         /** As many tracks as hold a few jobs each: multiple times the window against the mean aim of the classes. */
-        public static Terms of(int schedulers, int me, long window, double multiple, double meanAim) {
-            int tracks = (int) Math.min(schedulers, multiple * window / Math.max(1, meanAim) / TRACK_JOBS);
-            return new Terms(schedulers, me, window, Math.max(1, tracks));
+        public static Terms of(int schedulers, int ownIndex, long windowMicros, double multiple, double meanAimMicros) {
+            int tracks =
+                    (int) Math.min(schedulers, multiple * windowMicros / Math.max(1, meanAimMicros) / JOBS_PER_TRACK);
+            return new Terms(schedulers, ownIndex, windowMicros, Math.max(1, tracks));
         }
 
         /** Whether this scheduler has a turn at that worker, not in its quiet end, begun with this process up. */
-        public boolean hasTurn(long now, int name) {
-            long period = (long) (TURN * window);
+        public boolean hasTurn(long now, int workerHash) {
+            long period = (long) (TURN_WINDOWS * windowMicros);
             for (int track = 0; track < tracks; track++) {
-                long phase = track * period / tracks, at = now + phase;
-                long owner = Math.floorDiv(at, period) + name + (long) track * schedulers / tracks;
-                boolean quiet = Math.floorMod(at, period) >= period - QUIET * window;
-                boolean whole = startedAt + phase <= at - Math.floorMod(at, period);
-                if (!quiet && whole && Math.floorMod(owner, schedulers) == me) {
+                long phase = track * period / tracks, shiftedNow = now + phase;
+                long turnNumber = Math.floorDiv(shiftedNow, period) + workerHash + (long) track * schedulers / tracks;
+                boolean quiet = Math.floorMod(shiftedNow, period) >= period - QUIET_WINDOWS * windowMicros;
+                boolean begunSinceStart = startedAt + phase <= shiftedNow - Math.floorMod(shiftedNow, period);
+                if (!quiet && begunSinceStart && Math.floorMod(turnNumber, schedulers) == ownIndex) {
                     return true;
                 }
             }
@@ -73,30 +74,30 @@
         }
     }
 
-    private record Sent(long at, double size) {}
+    private record SentJob(long sentAt, double size) {}
 
-    private final List<Sent> sent = new ArrayList<>(0);
+    private final List<SentJob> sentJobs = new ArrayList<>(0);
 
     /** Whether a job of that size may go now, where all schedulers may send so much in any window. */
-    public boolean allows(long now, Terms terms, int name, double whole, double size) {
-        if (!terms.hasTurn(now, name)) {
+    public boolean allows(long now, Terms terms, int workerHash, double totalPerWindow, double size) {
+        if (!terms.hasTurn(now, workerHash)) {
             return false;
         }
         double used = size;
-        for (Sent s : sent) {
-            used += s.at > now - terms.window ? s.size : 0;
+        for (SentJob job : sentJobs) {
+            used += job.sentAt > now - terms.windowMicros ? job.size : 0;
         }
-        return used <= USED * whole / terms.tracks;
+        return used <= USED_SHARE * totalPerWindow / terms.tracks;
     }
 
     /** A job of that size goes now; what has left the window is forgotten. */
     public void recordSent(long now, Terms terms, double size) {
-        sent.removeIf(s -> s.at <= now - terms.window);
-        sent.add(new Sent(now, size));
+        sentJobs.removeIf(job -> job.sentAt <= now - terms.windowMicros);
+        sentJobs.add(new SentJob(now, size));
     }
 
     /** The worker has started anew: what came before weighs no more. */
     public void clear() {
-        sent.clear();
+        sentJobs.clear();
     }
 }
--- a/src/main/java/barrowshore/halls/Hall.java
+++ b/src/main/java/barrowshore/halls/Hall.java
@@ -12,7 +12,7 @@
  */
 final class Hall {
     /** Why a hall is dark. */
-    enum Why {
+    enum DarkReason {
         NONE,
         LOST,
         CUT_OFF,
@@ -22,63 +22,63 @@
     }
 
     /** A sign counts as of now for so long; so does what only says that something happened. */
-    private static final long FRESH = 3_000_000;
+    private static final long SIGN_VALID_MICROS = 3_000_000;
     /** At this share lost a doubt is settled at once, and below this one it is over. */
-    private static final double SURE = 0.9;
+    private static final double IMMEDIATE_DARK_LOST_SHARE = 0.9;
 
-    private static final double OVER = 0.4;
+    private static final double DOUBT_END_LOST_SHARE = 0.4;
     /** Servers in trouble that never move a larger hall. */
-    private static final int FEW = 2;
+    private static final int MAX_IGNORED_LOST_SERVERS = 2;
     /** Words against a lone server, or a pair, until they are believed: there is nothing to weigh them against. */
-    private static final int LONE_WORDS = 2;
+    private static final int SMALL_HALL_FAULTS_PER_SERVER = 2;
     /** Share of the listed capacity that must have served for a hall to be back. */
-    private static final double BACK = 0.8;
+    private static final double RECOVERED_WEIGHT_SHARE = 0.8;
     /** A first job that is out for longer does not keep others from being tried. */
-    private static final long STUCK = 2_000_000;
+    private static final long FIRST_JOB_TIMEOUT_MICROS = 2_000_000;
     /** Most doublings of the pause between trials. */
-    private static final int MOST_PAUSES = 3;
+    private static final int MAX_TRIAL_PAUSE_DOUBLINGS = 3;
     /** Servers of a doubted or dark hall probed at once. */
-    private static final int PROBES = 3;
+    private static final int MAX_PROBES_PER_UPDATE = 3;
     /** No server is probed again within this. */
-    private static final long PROBE_PAUSE = 400_000;
+    private static final long MIN_PROBE_INTERVAL_MICROS = 400_000;
 
     /** What the peers that know something say: how many hold it for lost, had a sign just now, and that it serves. */
-    record Hearsay(int heard, int lost, int served, int well) {}
+    record PeerOpinions(int informedPeers, int peersHoldingItDark, int peersWithSign, int peersServedThere) {}
 
     HallRules rules;
     private final DoubleSupplier random;
     final int number;
-    final List<HallServer> places = new ArrayList<>();
+    final List<HallServer> servers = new ArrayList<>();
     HallState state = HallState.SERVING;
-    Why why = Why.NONE;
-    long since;
-    private long darkAt;
-    private long returnedAt = Long.MIN_VALUE / 2;
-    private long trialAt;
-    private int pauses;
-    private int flaps;
+    DarkReason darkReason = DarkReason.NONE;
+    long stateSince;
+    private long darkSince;
+    private long recoveredAt = Long.MIN_VALUE / 2;
+    private long nextTrialAt;
+    private int trialsSinceDark;
+    private int flapCount;
     private long heldUntil;
-    private boolean seen;
+    private boolean everListed;
     /** As of the last turn: listed servers, their weight and slots, those lost, and the weight known to be alive. */
-    private int listed;
-
-    private int lost;
-    private int words;
-    private int draining;
-    private boolean firm;
-    private double weight;
-    private double slots;
+    private int listedCount;
+
+    private int lostCount;
+    private int faultCount;
+    private int drainingCount;
+    private boolean hasNonResetFault;
+    private double listedWeight;
+    private double slotsNotLost;
     private double lostWeight;
     private double aliveWeight;
-    private double provedWeight;
-    private double provedSlots;
-    private double provedLost;
-    private int proved;
-    private int trying;
-    private long signAt;
-    private long troubledAt = Long.MIN_VALUE / 2;
+    private double provenWeight;
+    private double provenSlots;
+    private double provenLostWeight;
+    private int provenCount;
+    private int firstJobsOut;
+    private long lastSignAt;
+    private long lossBeganAt = Long.MIN_VALUE / 2;
     /** The server that a dark hall's one trial is out at, and since when. */
-    private HallServer trial;
+    private HallServer trialServer;
 
     private long trialSentAt;
 
@@ -89,71 +89,71 @@
     }
 
     /** Slots of the servers that are listed and not taken for lost; while it returns, of those that have served. */
-    double usable() {
+    double usableSlots() {
         return state == HallState.RETURNING
-                ? provedSlots
-                : state == HallState.DARK || state == HallState.HELD ? 0 : slots;
+                ? provenSlots
+                : state == HallState.DARK || state == HallState.HELD ? 0 : slotsNotLost;
     }
 
-    long signAt() {
-        return signAt;
+    long lastSignAt() {
+        return lastSignAt;
     }
 
     /** Since when the first of what is lost has been; long ago if nothing is. */
-    long troubledAt() {
-        return state == HallState.DARK ? darkAt : troubledAt;
+    long lossBeganAt() {
+        return state == HallState.DARK ? darkSince : lossBeganAt;
     }
 
     /** Capacity that speaks for itself: no more than what is listed. */
-    private void count(long now) {
-        listed = 0;
-        lost = 0;
-        words = 0;
-        draining = 0;
-        proved = 0;
-        trying = 0;
-        weight = 0;
-        slots = 0;
+    private void countServers(long now) {
+        listedCount = 0;
+        lostCount = 0;
+        faultCount = 0;
+        drainingCount = 0;
+        provenCount = 0;
+        firstJobsOut = 0;
+        listedWeight = 0;
+        slotsNotLost = 0;
         lostWeight = 0;
         aliveWeight = 0;
-        provedWeight = 0;
-        provedSlots = 0;
-        provedLost = 0;
-        firm = false;
-        signAt = Long.MIN_VALUE / 2;
-        troubledAt = Long.MAX_VALUE;
-        for (HallServer p : places) {
-            signAt = Math.max(signAt, p.signAt);
-            draining += p.listed && p.draining ? 1 : 0;
-            if (!p.counts()) {
+        provenWeight = 0;
+        provenSlots = 0;
+        provenLostWeight = 0;
+        hasNonResetFault = false;
+        lastSignAt = Long.MIN_VALUE / 2;
+        lossBeganAt = Long.MAX_VALUE;
+        for (HallServer server : servers) {
+            lastSignAt = Math.max(lastSignAt, server.lastSignAt);
+            drainingCount += server.listed && server.draining ? 1 : 0;
+            if (!server.isActive()) {
                 continue;
             }
-            if (p.lost() && p.soft && now - p.againstAt > FRESH) {
-                p.lostAt = 0; // a reset told of a moment, and that has passed
+            if (server.isLost() && server.onlyResets && now - server.lastFaultAt > SIGN_VALID_MICROS) {
+                server.lostSince = 0; // a reset told of a moment, and that has passed
             }
-            listed++;
-            weight += p.weight;
-            if (p.lost()) {
-                troubledAt = Math.min(troubledAt, p.lostAt);
-                lost++;
-                words += p.against;
-                firm |= !p.soft;
-                lostWeight += p.weight;
+            listedCount++;
+            listedWeight += server.weight;
+            if (server.isLost()) {
+                lossBeganAt = Math.min(lossBeganAt, server.lostSince);
+                lostCount++;
+                faultCount += server.faultCount;
+                hasNonResetFault |= !server.onlyResets;
+                lostWeight += server.weight;
             } else {
-                slots += p.slots;
-                aliveWeight += now - p.signAt <= FRESH ? p.weight : 0;
+                slotsNotLost += server.slots;
+                aliveWeight += now - server.lastSignAt <= SIGN_VALID_MICROS ? server.weight : 0;
             }
-            if (p.proved) {
-                proved++;
-                provedWeight += p.weight;
-                provedLost += p.lost() ? p.weight : 0;
-                provedSlots += p.lost() ? 0 : Math.min(p.slots, p.allow);
+            if (server.proven) {
+                provenCount++;
+                provenWeight += server.weight;
+                provenLostWeight += server.isLost() ? server.weight : 0;
+                provenSlots += server.isLost() ? 0 : Math.min(server.slots, server.allowedSlots);
             } else {
-                trying += p.trying && now - p.triedAt < STUCK ? 1 : 0;
+                firstJobsOut += server.firstJobOut && now - server.firstJobSentAt < FIRST_JOB_TIMEOUT_MICROS ? 1 : 0;
             }
         }
-        troubledAt = lost == 0 ? Long.MIN_VALUE / 2 : troubledAt;
-        seen |= listed > 0;
+        lossBeganAt = lostCount == 0 ? Long.MIN_VALUE / 2 : lossBeganAt;
+        everListed |= listedCount > 0;
     }
 
     /** The lost part of what is known of its capacity. */
@@ -162,257 +162,284 @@
     }
 
     /** Whether enough servers are in trouble to say anything of the hall. */
-    private boolean enough() {
-        return lost > FEW || lost == listed && listed > 0 && (words >= LONE_WORDS * listed || lost > 1 && firm);
+    private boolean hasEnoughEvidence() {
+        return lostCount > MAX_IGNORED_LOST_SERVERS
+                || lostCount == listedCount
+                        && listedCount > 0
+                        && (faultCount >= SMALL_HALL_FAULTS_PER_SERVER * listedCount
+                                || lostCount > 1 && hasNonResetFault);
     }
 
     /** Moves the state; returns a line for the log if it has changed, else null. */
-    String turn(long now, Hearsay peers) {
-        count(now);
-        if (!seen) {
+    String updateState(long now, PeerOpinions peers) {
+        countServers(now);
+        if (!everListed) {
             return null;
         }
         return switch (state) {
-            case SERVING -> serving(now, peers);
-            case DOUBTED -> doubted(now, peers);
-            case DARK -> dark(now, peers);
-            case HELD -> held(now);
-            case RETURNING -> returning(now, peers);
+            case SERVING -> updateServing(now, peers);
+            case DOUBTED -> updateDoubted(now, peers);
+            case DARK -> updateDark(now, peers);
+            case HELD -> updateHeld(now);
+            case RETURNING -> updateReturning(now, peers);
         };
     }
 
-    private String serving(long now, Hearsay peers) {
-        if (listed == 0) {
-            return goDark(now, drained() ? Why.PLANNED : Why.UNLISTED);
+    private String updateServing(long now, PeerOpinions peers) {
+        if (listedCount == 0) {
+            return goDark(now, wasDrained() ? DarkReason.PLANNED : DarkReason.UNLISTED);
         }
-        if (now - since > rules.flapWindowMicros()) {
-            flaps = 0;
+        if (now - stateSince > rules.flapWindowMicros()) {
+            flapCount = 0;
         }
-        boolean told = peers.lost() > 0 && 2 * peers.lost() >= peers.heard() && peers.served() == 0;
-        if (enough() && lostShare() >= rules.doubtShare() || told && lost > 0 && lostShare() >= 0.5) {
-            return move(now, HallState.DOUBTED);
+        boolean toldDark = peers.peersHoldingItDark() > 0
+                && 2 * peers.peersHoldingItDark() >= peers.informedPeers()
+                && peers.peersWithSign() == 0;
+        if (hasEnoughEvidence() && lostShare() >= rules.doubtShare()
+                || toldDark && lostCount > 0 && lostShare() >= 0.5) {
+            return changeState(now, HallState.DOUBTED);
         }
         // Nothing of our own speaks for it: a fresh scheduler believes the others.
-        return told && now - signAt > FRESH ? goDark(now, Why.TOLD) : null;
+        return toldDark && now - lastSignAt > SIGN_VALID_MICROS ? goDark(now, DarkReason.TOLD) : null;
     }
 
     /** Whether what it had drains, or drained before it went. */
-    private boolean drained() {
-        for (HallServer p : places) {
-            if (p.draining) {
+    private boolean wasDrained() {
+        for (HallServer server : servers) {
+            if (server.draining) {
                 return true;
             }
         }
         return false;
     }
 
-    private String doubted(long now, Hearsay peers) {
-        if (listed == 0) {
-            return goDark(now, drained() ? Why.PLANNED : Why.UNLISTED);
+    private String updateDoubted(long now, PeerOpinions peers) {
+        if (listedCount == 0) {
+            return goDark(now, wasDrained() ? DarkReason.PLANNED : DarkReason.UNLISTED);
         }
         double share = lostShare();
-        if (lost == 0 || share < OVER) {
-            return move(now, HallState.SERVING);
+        if (lostCount == 0 || share < DOUBT_END_LOST_SHARE) {
+            return changeState(now, HallState.SERVING);
         }
-        boolean sure = enough() && firm && share >= SURE;
-        boolean forLong = firm && now - since >= rules.darkAfterMicros() && share >= rules.doubtShare();
-        return sure || forLong ? goDark(now, peers.served() > 0 ? Why.CUT_OFF : Why.LOST) : null;
+        boolean certain = hasEnoughEvidence() && hasNonResetFault && share >= IMMEDIATE_DARK_LOST_SHARE;
+        boolean lastedLong =
+                hasNonResetFault && now - stateSince >= rules.darkAfterMicros() && share >= rules.doubtShare();
+        return certain || lastedLong
+                ? goDark(now, peers.peersWithSign() > 0 ? DarkReason.CUT_OFF : DarkReason.LOST)
+                : null;
     }
 
-    private String dark(long now, Hearsay peers) {
-        if (listed == 0) {
+    private String updateDark(long now, PeerOpinions peers) {
+        if (listedCount == 0) {
             return null;
         }
-        if (why == Why.PLANNED || why == Why.UNLISTED) {
-            boolean fresh = false;
-            for (HallServer p : places) {
-                fresh |= p.counts() && (p.startedAt > darkAt || p.signAt < darkAt - FRESH);
+        if (darkReason == DarkReason.PLANNED || darkReason == DarkReason.UNLISTED) {
+            boolean anyRestarted = false;
+            for (HallServer server : servers) {
+                anyRestarted |= server.isActive()
+                        && (server.startedAt > darkSince || server.lastSignAt < darkSince - SIGN_VALID_MICROS);
             }
             // What was only not listed, and kept answering, never was away.
-            return !fresh && lost == 0 ? move(now, HallState.SERVING) : comeBack(now);
+            return !anyRestarted && lostCount == 0 ? changeState(now, HallState.SERVING) : startReturn(now);
         }
-        if (why == Why.LOST && peers.served() > 0) {
-            why = Why.CUT_OFF; // known only now: their word takes its time
+        if (darkReason == DarkReason.LOST && peers.peersWithSign() > 0) {
+            darkReason = DarkReason.CUT_OFF; // known only now: their word takes its time
             return String.format(
-                    Locale.ROOT, "hall %s is only cut off from here: others are served there", rules.name(number));
+                    Locale.ROOT, "hall %s is only cut off from here: others are served there", rules.nameOf(number));
         }
         // What was only told is over when nobody says so any more.
-        return signAt > darkAt || why == Why.TOLD && peers.lost() == 0 ? comeBack(now) : null;
+        return lastSignAt > darkSince || darkReason == DarkReason.TOLD && peers.peersHoldingItDark() == 0
+                ? startReturn(now)
+                : null;
     }
 
-    private String held(long now) {
+    private String updateHeld(long now) {
         if (now >= heldUntil) {
-            trialAt = now;
-            darkAt = now;
-            return move(now, HallState.DARK);
+            nextTrialAt = now;
+            darkSince = now;
+            return changeState(now, HallState.DARK);
         }
         return null;
     }
 
-    private String returning(long now, Hearsay peers) {
-        if (listed == 0) {
-            return goDark(now, drained() ? Why.PLANNED : Why.UNLISTED);
+    private String updateReturning(long now, PeerOpinions peers) {
+        if (listedCount == 0) {
+            return goDark(now, wasDrained() ? DarkReason.PLANNED : DarkReason.UNLISTED);
         }
-        boolean gone = proved > 0
-                && (provedLost >= provedWeight
-                        || provedLost >= rules.doubtShare() * provedWeight
-                                && lost > FEW
-                                && provedLost > provedWeight / 2);
-        if (gone) {
-            return goDark(now, peers.served() > 0 ? Why.CUT_OFF : Why.LOST);
+        boolean lostAgain = provenCount > 0
+                && (provenLostWeight >= provenWeight
+                        || provenLostWeight >= rules.doubtShare() * provenWeight
+                                && lostCount > MAX_IGNORED_LOST_SERVERS
+                                && provenLostWeight > provenWeight / 2);
+        if (lostAgain) {
+            return goDark(now, peers.peersWithSign() > 0 ? DarkReason.CUT_OFF : DarkReason.LOST);
         }
-        if (proved == 0 && now - since > rules.settleMicros() && enough() && lostShare() >= rules.doubtShare()) {
-            return goDark(now, Why.LOST); // the sign that brought it back was the last one
+        if (provenCount == 0
+                && now - stateSince > rules.settleMicros()
+                && hasEnoughEvidence()
+                && lostShare() >= rules.doubtShare()) {
+            return goDark(now, DarkReason.LOST); // the sign that brought it back was the last one
         }
-        boolean seen = peers.well() > 0 && peers.lost() == 0 && lost == 0; // we have no work there, others have
-        boolean served = proved > 0 && provedWeight - provedLost >= BACK * weight;
-        if (now - since >= rules.settleMicros() && (served || seen && proved == 0)) {
-            returnedAt = why == Why.LOST ? now : returnedAt;
-            why = Why.NONE;
-            return move(now, HallState.SERVING);
+        boolean peersServed = peers.peersServedThere() > 0
+                && peers.peersHoldingItDark() == 0
+                && lostCount == 0; // we have no work there, others have
+        boolean enoughProven =
+                provenCount > 0 && provenWeight - provenLostWeight >= RECOVERED_WEIGHT_SHARE * listedWeight;
+        if (now - stateSince >= rules.settleMicros() && (enoughProven || peersServed && provenCount == 0)) {
+            recoveredAt = darkReason == DarkReason.LOST ? now : recoveredAt;
+            darkReason = DarkReason.NONE;
+            return changeState(now, HallState.SERVING);
         }
         return null;
     }
 
-    private String goDark(long now, Why reason) {
-        boolean planned = reason == Why.PLANNED || reason == Why.UNLISTED || reason == Why.CUT_OFF;
-        boolean again = !planned
-                && (state == HallState.RETURNING && proved > 0 || now - returnedAt <= rules.flapWindowMicros());
-        why = reason;
-        darkAt = now;
-        trial = null;
-        pauses = 0;
-        trialAt = now + pause();
-        if (again) {
-            long most = Math.min(rules.maxHoldOffMicros(), rules.holdOffMicros() << Math.min(flaps++, 16));
-            heldUntil = now + (long) (most * (0.75 + random.getAsDouble() / 2));
-            return move(now, HallState.HELD);
+    private String goDark(long now, DarkReason reason) {
+        boolean notAFailure =
+                reason == DarkReason.PLANNED || reason == DarkReason.UNLISTED || reason == DarkReason.CUT_OFF;
+        boolean flapped = !notAFailure
+                && (state == HallState.RETURNING && provenCount > 0 || now - recoveredAt <= rules.flapWindowMicros());
+        darkReason = reason;
+        darkSince = now;
+        trialServer = null;
+        trialsSinceDark = 0;
+        nextTrialAt = now + trialPauseMicros();
+        if (flapped) {
+            long holdOffMicros = Math.min(rules.maxHoldOffMicros(), rules.holdOffMicros() << Math.min(flapCount++, 16));
+            heldUntil = now + (long) (holdOffMicros * (0.75 + random.getAsDouble() / 2));
+            return changeState(now, HallState.HELD);
         }
-        return move(now, HallState.DARK);
+        return changeState(now, HallState.DARK);
     }
 
-    private String comeBack(long now) {
-        for (HallServer p : places) {
-            p.unprove(now, now + (long) (random.getAsDouble() * rules.trialPauseMicros()));
-            if (!suspect()) {
-                p.allow = Math.max(1, p.slots / 2); // it was well all the time; still it is not hit by all at once
+    private String startReturn(long now) {
+        for (HallServer server : servers) {
+            server.restartProof(now, now + (long) (random.getAsDouble() * rules.trialPauseMicros()));
+            if (!isFailureSuspected()) {
+                server.allowedSlots =
+                        Math.max(1, server.slots / 2); // it was well all the time; still it is not hit by all at once
             }
         }
-        return move(now, HallState.RETURNING);
+        return changeState(now, HallState.RETURNING);
     }
 
-    private long pause() {
-        return (long) ((rules.trialPauseMicros() << Math.min(pauses, MOST_PAUSES)) * (0.75 + random.getAsDouble() / 2));
+    private long trialPauseMicros() {
+        return (long) ((rules.trialPauseMicros() << Math.min(trialsSinceDark, MAX_TRIAL_PAUSE_DOUBLINGS))
+                * (0.75 + random.getAsDouble() / 2));
     }
 
-    private String move(long now, HallState to) {
+    private String changeState(long now, HallState to) {
         HallState from = state;
         state = to;
-        since = now;
+        stateSince = now;
         return String.format(
                 Locale.ROOT,
                 "hall %s %s (was %s%s): %d of %d servers lost, share %.2f, flaps %d",
-                rules.name(number),
-                word(to),
-                word(from),
-                why == Why.NONE || to == HallState.SERVING ? "" : ", " + word(why),
-                lost,
-                listed,
+                rules.nameOf(number),
+                logName(to),
+                logName(from),
+                darkReason == DarkReason.NONE || to == HallState.SERVING ? "" : ", " + logName(darkReason),
+                lostCount,
+                listedCount,
                 lostShare(),
-                flaps);
+                flapCount);
     }
 
-    private static String word(Enum<?> e) {
-        return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    private static String logName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Whether a job may go to this server now. */
-    boolean takes(long now, HallServer p, double size, boolean repeatable) {
+    boolean acceptsJob(long now, HallServer server, double jobSlots, boolean repeatable) {
         return switch (state) {
             case SERVING -> true;
-            case DOUBTED -> !p.lost();
+            case DOUBTED -> !server.isLost();
                 // One trial at a time; the first ones with what may run twice, if there is such work.
-            case DARK -> trial == null && now >= trialAt && (repeatable || pauses > 1);
+            case DARK -> trialServer == null && now >= nextTrialAt && (repeatable || trialsSinceDark > 1);
             case HELD -> false;
-            case RETURNING -> p.proved
-                    ? p.held + size <= p.allow || p.held == 0 && size <= p.slots
-                    : !p.trying
-                            && now >= p.nextTry
-                            && (trying < Math.max(1, proved) || !suspect())
-                            && (repeatable || !p.lost() || now - p.nextTry > 4 * rules.trialPauseMicros());
+            case RETURNING -> server.proven
+                    ? server.heldSlots + jobSlots <= server.allowedSlots
+                            || server.heldSlots == 0 && jobSlots <= server.slots
+                    : !server.firstJobOut
+                            && now >= server.nextFirstJobAt
+                            && (firstJobsOut < Math.max(1, provenCount) || !isFailureSuspected())
+                            && (repeatable
+                                    || !server.isLost()
+                                    || now - server.nextFirstJobAt > 4 * rules.trialPauseMicros());
         };
     }
 
     /** Whether something broke there: not if it was drained, left out of the list, or cut off from here alone. */
-    private boolean suspect() {
-        return why == Why.LOST || why == Why.TOLD;
+    private boolean isFailureSuspected() {
+        return darkReason == DarkReason.LOST || darkReason == DarkReason.TOLD;
     }
 
     /** No hall is any good: what is left is one job at a time for each server, wherever one may still be. */
-    boolean takesInPanic(HallServer p) {
-        return !p.trying;
+    boolean acceptsJobInPanic(HallServer server) {
+        return !server.firstJobOut;
     }
 
-    void sent(long now, HallServer p, double size) {
+    void recordSent(long now, HallServer server, double jobSlots) {
         if (state == HallState.DARK) {
-            trial = p;
+            trialServer = server;
             trialSentAt = now;
-            trialAt = now + pause();
-            pauses++;
+            nextTrialAt = now + trialPauseMicros();
+            trialsSinceDark++;
         }
         // What proved itself in an earlier return has nothing to show for it once the hall is dark again.
-        if (state != HallState.SERVING && !(p.proved && state == HallState.RETURNING) && !p.trying) {
-            p.trying = true;
-            p.triedAt = now;
-            trying++;
+        if (state != HallState.SERVING && !(server.proven && state == HallState.RETURNING) && !server.firstJobOut) {
+            server.firstJobOut = true;
+            server.firstJobSentAt = now;
+            firstJobsOut++;
         }
-        p.held += size;
+        server.heldSlots += jobSlots;
     }
 
-    void ended(long now, HallServer p, long sentAt, double size, boolean served) {
-        if (p == trial && sentAt >= trialSentAt) {
-            trial = null;
+    void recordEnd(long now, HallServer server, long sentAt, double jobSlots, boolean served) {
+        if (server == trialServer && sentAt >= trialSentAt) {
+            trialServer = null;
         }
-        if (sentAt < p.epoch) {
+        if (sentAt < server.provingSince) {
             return; // work of before: it is a sign, but proves nothing of what it can take now
         }
-        p.held = Math.max(0, p.held - size);
-        trying = Math.max(0, trying - (p.trying ? 1 : 0));
-        p.trying = false;
+        server.heldSlots = Math.max(0, server.heldSlots - jobSlots);
+        firstJobsOut = Math.max(0, firstJobsOut - (server.firstJobOut ? 1 : 0));
+        server.firstJobOut = false;
         if (served && state == HallState.RETURNING) {
-            p.proved = true;
-            p.allow += Math.max(1, p.allow / 2);
-        } else if (!served && !p.proved) {
-            p.nextTry = now + (long) (rules.trialPauseMicros() * (1 + random.getAsDouble()));
+            server.proven = true;
+            server.allowedSlots += Math.max(1, server.allowedSlots / 2);
+        } else if (!served && !server.proven) {
+            server.nextFirstJobAt = now + (long) (rules.trialPauseMicros() * (1 + random.getAsDouble()));
         }
     }
 
     /** Servers to probe: in a doubt those of which nothing is known lately, in the dark those least lately asked. */
-    void probes(long now, List<String> into) {
-        if (state == HallState.SERVING || state == HallState.HELD || state == HallState.DARK && now < trialAt) {
+    void addServersToProbe(long now, List<String> serversToProbe) {
+        if (state == HallState.SERVING || state == HallState.HELD || state == HallState.DARK && now < nextTrialAt) {
             return;
         }
-        int left = state == HallState.DARK ? 1 : PROBES;
-        while (left-- > 0) {
+        int probesLeft = state == HallState.DARK ? 1 : MAX_PROBES_PER_UPDATE;
+        while (probesLeft-- > 0) {
             HallServer next = null;
-            for (HallServer p : places) {
-                boolean due = p.counts()
-                        && now - p.probedAt > PROBE_PAUSE
+            for (HallServer server : servers) {
+                boolean due = server.isActive()
+                        && now - server.lastProbeAt > MIN_PROBE_INTERVAL_MICROS
                         && (state == HallState.DARK
-                                || state == HallState.RETURNING && !p.proved && p.lost()
-                                || state == HallState.DOUBTED && !p.lost() && now - p.signAt > FRESH / 2);
-                if (due && (next == null || p.probedAt < next.probedAt)) {
-                    next = p;
+                                || state == HallState.RETURNING && !server.proven && server.isLost()
+                                || state == HallState.DOUBTED
+                                        && !server.isLost()
+                                        && now - server.lastSignAt > SIGN_VALID_MICROS / 2);
+                if (due && (next == null || server.lastProbeAt < next.lastProbeAt)) {
+                    next = server;
                 }
             }
             if (next == null) {
                 return;
             }
-            next.probedAt = now;
-            into.add(next.id);
+            next.lastProbeAt = now;
+            serversToProbe.add(next.id);
             if (state == HallState.DARK) {
-                trialAt = now + pause();
-                pauses++;
+                nextTrialAt = now + trialPauseMicros();
+                trialsSinceDark++;
             }
         }
     }
--- a/src/main/java/barrowshore/halls/HallPolicy.java
+++ b/src/main/java/barrowshore/halls/HallPolicy.java
@@ -23,30 +23,31 @@
     }
 
     /** The handle of a server, kept by the caller; null: there are no halls. */
-    default HallServer serverFor(String server) {
+    default HallServer serverFor(String serverId) {
         return null;
     }
 
     /** What the list says of a server now. slots and speed: what it can do, by the caller's own measure. */
-    default void updateListing(long now, HallServer place, int zone, boolean ready, boolean draining, long startedAt) {}
+    default void updateListing(
+            long now, HallServer server, int zone, boolean ready, boolean draining, long startedAt) {}
 
     /** What the module believes of a listed server, renewed now and then; silent: signs that were due did not come. */
-    default void updateCapacity(long now, HallServer place, double slots, double speed, boolean silent) {}
+    default void updateCapacity(long now, HallServer server, double slots, double speed, boolean silent) {}
 
     /** A server has given a sign: it started a job, went on with one, or answered. */
-    default void recordSignOfLife(long now, HallServer place) {}
+    default void recordSignOfLife(long now, HallServer server) {}
 
     /** A probe of a server has ended; answered: by itself, whatever it said. */
-    default void recordProbe(long now, HallServer place, boolean answered) {}
+    default void recordProbe(long now, HallServer server, boolean answered) {}
 
     /** Something speaks against a server. */
-    default void recordFault(long now, HallServer place, HallServer.Fault what) {}
+    default void recordFault(long now, HallServer server, HallServer.Fault fault) {}
 
     /** A job was sent. wait: how long it is expected to wait there, as a share of the usual wanted time. */
-    default void recordSent(long now, HallServer place, double slots, double wait) {}
+    default void recordSent(long now, HallServer server, double slots, double wait) {}
 
     /** A job that was sent at that time has ended; served: with a result. */
-    default void recordEnd(long now, HallServer place, long sentAt, double slots, boolean served) {}
+    default void recordEnd(long now, HallServer server, long sentAt, double slots, boolean served) {}
 
     /** A request of our own was turned down; worth: as in {@link #priceHalls}. */
     default void recordRefusal(long now, double worth) {}
@@ -72,7 +73,7 @@
     }
 
     /** Whether the request weighed last may go to this server, as far as its hall is concerned. */
-    default boolean mayUse(HallServer place) {
+    default boolean mayUse(HallServer server) {
         return true;
     }
 
@@ -82,17 +83,17 @@
     }
 
     /** Whether the server's hall is in use; else its capacity counts for nothing. */
-    default boolean isHallInUse(HallServer place) {
+    default boolean isHallInUse(HallServer server) {
         return true;
     }
 
     /** Whether the server's hall is anything but serving. */
-    default boolean isHallTroubled(HallServer place) {
+    default boolean isHallTroubled(HallServer server) {
         return false;
     }
 
     /** Whether a request that this server gave back, or lost, may be tried again. worth: as in {@link #priceHalls}. */
-    default boolean mayRetry(long now, HallServer place, double worth) {
+    default boolean mayRetry(long now, HallServer server, double worth) {
         return true;
     }
 
--- a/src/main/java/barrowshore/halls/HallRules.java
+++ b/src/main/java/barrowshore/halls/HallRules.java
@@ -58,8 +58,8 @@
         require(retryBurst >= 1, "halls: retryBurst must be at least 1");
     }
 
-    private static void require(boolean holds, String message) {
-        if (!holds) {
+    private static void require(boolean condition, String message) {
+        if (!condition) {
             throw new IllegalArgumentException(message);
         }
     }
@@ -86,20 +86,20 @@
     }
 
     /** The number of the hall of a zone; what has no known zone is in the one after the last. */
-    int hall(int zone) {
+    int hallOfZone(int zone) {
         return zone < 0 || zone >= names.size() ? names.size() : zone;
     }
 
     int tierOf(int hall) {
-        return hall < tiersByHall.size() ? tiersByHall.get(hall) : tiers() - 1;
+        return hall < tiersByHall.size() ? tiersByHall.get(hall) : tierCount() - 1;
     }
 
     /** How many tiers there are. */
-    int tiers() {
+    int tierCount() {
         return 1 + tiersByHall.stream().mapToInt(t -> t).max().orElse(0);
     }
 
-    String name(int hall) {
+    String nameOf(int hall) {
         return hall < names.size() ? names.get(hall) : "(no hall)";
     }
 }
--- a/src/main/java/barrowshore/halls/HallServer.java
+++ b/src/main/java/barrowshore/halls/HallServer.java
@@ -25,29 +25,29 @@
     double weight = 1;
     long startedAt;
     /** Ours that are out. */
-    double out;
+    double slotsOut;
 
     int jobsOut;
-    long signAt = Long.MIN_VALUE / 2;
+    long lastSignAt = Long.MIN_VALUE / 2;
     /** Since when it is taken for lost, 0: it is not; the last word against it; how many; whether none was firm. */
-    long lostAt;
+    long lostSince;
 
-    long againstAt;
-    int against;
-    boolean soft;
+    long lastFaultAt;
+    int faultCount;
+    boolean onlyResets;
     /**
      * In a hall that returns: since when, whether it has served what was sent since, the slots of ours that it may hold
      * and holds of that, whether a first job is out, and when it may be tried next.
      */
-    long epoch;
+    long provingSince;
 
-    boolean proved;
-    double allow = 1;
-    double held;
-    boolean trying;
-    long triedAt;
-    long nextTry;
-    long probedAt = Long.MIN_VALUE / 2;
+    boolean proven;
+    double allowedSlots = 1;
+    double heldSlots;
+    boolean firstJobOut;
+    long firstJobSentAt;
+    long nextFirstJobAt;
+    long lastProbeAt = Long.MIN_VALUE / 2;
 
     HallServer(String id) {
         this.id = id;
@@ -58,21 +58,21 @@
         return id;
     }
 
-    boolean counts() {
+    boolean isActive() {
         return listed && !draining;
     }
 
-    boolean lost() {
-        return lostAt != 0;
+    boolean isLost() {
+        return lostSince != 0;
     }
 
     /** A hall's return begins: nothing is proved yet, and one job at a time finds out. */
-    void unprove(long now, long tryAt) {
-        epoch = now;
-        proved = false;
-        allow = 1;
-        held = 0;
-        trying = false;
-        nextTry = tryAt;
+    void restartProof(long now, long firstJobAt) {
+        provingSince = now;
+        proven = false;
+        allowedSlots = 1;
+        heldSlots = 0;
+        firstJobOut = false;
+        nextFirstJobAt = firstJobAt;
     }
 }
--- a/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
+++ b/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
@@ -13,7 +13,7 @@
 
     /** One scheduler in fourteen at a time would leave a worker that is warm after eight windows to three of them. */
     @Test
-    void whereTheWholeHoldsManyJobsManySchedulersHaveATurnSoon() {
+    void manySchedulersGetATurnSoonWhereTheWindowHoldsManyJobs() {
         assertThat(IntStream.range(0, 14)
                         .mapToObj(k -> ColdWorkerBudget.Terms.of(14, k, WINDOW, 3, 180_000))
                         .filter(terms -> LongStream.range(0, 900).anyMatch(t -> terms.hasTurn(t * 10_000, 12345)))
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void whereItHoldsFewOneTrackIsLeft() {
+    void oneTrackIsUsedWhereTheWindowHoldsFewJobs() {
         assertThat(ColdWorkerBudget.Terms.of(14, 0, 2_000_000, 3, 417_000).tracks())
                 .isEqualTo(1);
         assertThat(ColdWorkerBudget.Terms.of(1, 0, WINDOW, 3, 1).tracks()).isEqualTo(1);
--- a/src/test/java/barrowshore/halls/HallsTest.java
+++ b/src/test/java/barrowshore/halls/HallsTest.java
@@ -9,45 +9,45 @@
 
 /** The decisions about halls, each hard case by itself: evidence in, states and gates out, on time that is handed in. */
 class HallsTest {
-    private static final long MS = 1_000, S = 1_000_000, TURN = 80 * MS;
+    private static final long MS = 1_000, SECOND = 1_000_000, UPDATE_INTERVAL = 80 * MS;
     private static final List<String> NAMES = List.of("a", "b");
 
     /** One scheduler of hall a, and servers a0.. and b0.. that answer or do not. */
-    private static final class Stage {
+    private static final class Fixture {
         final Halls halls;
-        final List<HallServer> a = new ArrayList<>(), b = new ArrayList<>();
-        final List<String> news = new ArrayList<>();
-        long now = 100 * S;
+        final List<HallServer> serversInA = new ArrayList<>(), serversInB = new ArrayList<>();
+        final List<String> logLines = new ArrayList<>();
+        long now = 100 * SECOND;
 
-        Stage(int inA, int inB, int schedulers) {
-            this(inA, inB, schedulers, HallRules.defaults(NAMES, 0), 0);
+        Fixture(int countInA, int countInB, int schedulers) {
+            this(countInA, countInB, schedulers, HallRules.defaults(NAMES, 0), 0);
         }
 
-        Stage(int inA, int inB, int schedulers, HallRules rules, int me) {
-            halls = new Halls(rules, schedulers, me, new Random(7)::nextDouble);
-            for (int k = 0; k < inA; k++) {
-                a.add(add("a" + k, 0, 0));
+        Fixture(int countInA, int countInB, int schedulers, HallRules rules, int ownIndex) {
+            halls = new Halls(rules, schedulers, ownIndex, new Random(7)::nextDouble);
+            for (int k = 0; k < countInA; k++) {
+                serversInA.add(addServer("a" + k, 0, 0));
             }
-            for (int k = 0; k < inB; k++) {
-                b.add(add("b" + k, 1, 0));
+            for (int k = 0; k < countInB; k++) {
+                serversInB.add(addServer("b" + k, 1, 0));
             }
             halls.updateStates(now, false);
         }
 
-        HallServer add(String id, int zone, long startedAt) {
-            HallServer p = halls.serverFor(id);
-            halls.updateListing(now, p, zone, true, false, startedAt);
-            halls.updateCapacity(now, p, 5, 1, false);
-            halls.recordSignOfLife(now, p);
-            return p;
+        HallServer addServer(String id, int zone, long startedAt) {
+            HallServer server = halls.serverFor(id);
+            halls.updateListing(now, server, zone, true, false, startedAt);
+            halls.updateCapacity(now, server, 5, 1, false);
+            halls.recordSignOfLife(now, server);
+            return server;
         }
 
         /** Turns for so long; the good ones give signs, the others have words spoken against them. */
-        void pass(long time, List<HallServer> good, List<HallServer> bad) {
-            for (long until = now + time; now < until; now += TURN) {
-                good.forEach(p -> halls.recordSignOfLife(now, p));
-                bad.forEach(p -> halls.recordFault(now, p, HallServer.Fault.UNREACHABLE));
-                news.addAll(halls.updateStates(now, false));
+        void run(long micros, List<HallServer> answering, List<HallServer> failing) {
+            for (long until = now + micros; now < until; now += UPDATE_INTERVAL) {
+                answering.forEach(p -> halls.recordSignOfLife(now, p));
+                failing.forEach(p -> halls.recordFault(now, p, HallServer.Fault.UNREACHABLE));
+                logLines.addAll(halls.updateStates(now, false));
             }
         }
 
@@ -55,417 +55,424 @@
             return halls.states().get(hall);
         }
 
-        List<HallServer> taking(List<HallServer> of, double slots, double worth, boolean repeatable) {
-            return taking(of, slots, worth, repeatable, 0);
+        List<HallServer> usable(List<HallServer> servers, double slots, double worth, boolean repeatable) {
+            return usable(servers, slots, worth, repeatable, 0);
         }
 
-        List<HallServer> taking(List<HallServer> of, double slots, double worth, boolean repeatable, int tier) {
+        List<HallServer> usable(List<HallServer> servers, double slots, double worth, boolean repeatable, int tier) {
             double[] prices = halls.priceHalls(now, slots, worth, repeatable, tier);
-            return of.stream()
+            return servers.stream()
                     .filter(p -> prices[p.hall] >= 0 ? prices[p.hall] != HallPolicy.CLOSED : halls.mayUse(p))
                     .toList();
         }
 
         /** Sends a job there and has it served after so long. */
-        void serve(HallServer p, long took) {
+        void serve(HallServer server, long micros) {
             long sentAt = now;
-            halls.recordSent(now, p, 1, 0);
-            pass(took, List.of(), List.of());
-            halls.recordEnd(now, p, sentAt, 1, true);
+            halls.recordSent(now, server, 1, 0);
+            run(micros, List.of(), List.of());
+            halls.recordEnd(now, server, sentAt, 1, true);
         }
 
         /** What another scheduler says of the halls. */
-        void hear(Halls other, int from) {
-            halls.receive(now, from, other.nextMessage(now));
+        void receiveFrom(Halls other, int otherIndex) {
+            halls.receive(now, otherIndex, other.nextMessage(now));
         }
     }
 
     @Test
-    void aDarkHallIsNoticedAndGetsTrialsOnly() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.b, s.a);
+    void aHallWithoutAnswersGoesDarkAndGetsOneTrialAtATime() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
         assertThat(s.state(1)).isEqualTo(HallState.SERVING);
-        s.pass(2 * S, s.b, List.of());
-        List<HallServer> open = s.taking(s.a, 1, 1, true);
+        s.run(2 * SECOND, s.serversInB, List.of());
+        List<HallServer> open = s.usable(s.serversInA, 1, 1, true);
         assertThat(open).isNotEmpty(); // one trial is due
         s.halls.recordSent(s.now, open.get(0), 1, 0);
-        assertThat(s.taking(s.a, 1, 1, true)).isEmpty(); // and only one
-        assertThat(s.taking(s.b, 1, 1, true)).hasSize(4);
+        assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty(); // and only one
+        assertThat(s.usable(s.serversInB, 1, 1, true)).hasSize(4);
     }
 
     @Test
-    void theFirstTrialsAreWhatMayRunTwice() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.b, s.a);
-        s.pass(2 * S, s.b, List.of());
-        assertThat(s.taking(s.a, 1, 1, false).size())
-                .isLessThanOrEqualTo(s.taking(s.a, 1, 1, true).size());
-        Stage fresh = new Stage(4, 4, 1);
-        fresh.pass(4 * TURN, fresh.b, fresh.a);
+    void theFirstTrialsAreRepeatableJobs() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
+        s.run(2 * SECOND, s.serversInB, List.of());
+        assertThat(s.usable(s.serversInA, 1, 1, false).size())
+                .isLessThanOrEqualTo(s.usable(s.serversInA, 1, 1, true).size());
+        Fixture fresh = new Fixture(4, 4, 1);
+        fresh.run(4 * UPDATE_INTERVAL, fresh.serversInB, fresh.serversInA);
         assertThat(fresh.state(0)).isEqualTo(HallState.DARK);
-        fresh.now += S;
-        assertThat(fresh.taking(fresh.a, 1, 1, false)).isEmpty();
-        assertThat(fresh.taking(fresh.a, 1, 1, true)).hasSize(4);
+        fresh.now += SECOND;
+        assertThat(fresh.usable(fresh.serversInA, 1, 1, false)).isEmpty();
+        assertThat(fresh.usable(fresh.serversInA, 1, 1, true)).hasSize(4);
     }
 
     @Test
-    void oneOrTwoServersNeverMoveAHall() {
+    void oneOrTwoLostServersNeverChangeALargerHallsState() {
         for (int size = 3; size <= 6; size++) {
-            Stage s = new Stage(size, 4, 1);
-            s.pass(20 * S, s.a.subList(2, size), s.a.subList(0, 2));
-            assertThat(s.news).isEmpty();
+            Fixture s = new Fixture(size, 4, 1);
+            s.run(20 * SECOND, s.serversInA.subList(2, size), s.serversInA.subList(0, 2));
+            assertThat(s.logLines).isEmpty();
         }
     }
 
     @Test
-    void halfOfAHallDeadForGoodDoesNotMoveIt() {
-        Stage s = new Stage(6, 4, 1);
-        s.pass(60 * S, s.a.subList(3, 6), s.a.subList(0, 3));
+    void losingHalfOfAHallDoesNotChangeItsState() {
+        Fixture s = new Fixture(6, 4, 1);
+        s.run(60 * SECOND, s.serversInA.subList(3, 6), s.serversInA.subList(0, 3));
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void resetsAloneNeverMakeAHallDark() {
-        Stage s = new Stage(4, 4, 1);
+        Fixture s = new Fixture(4, 4, 1);
         for (int k = 0; k < 20; k++) {
-            s.a.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.RESET));
-            s.pass(TURN, s.b, List.of());
+            s.serversInA.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.RESET));
+            s.run(UPDATE_INTERVAL, s.serversInB, List.of());
         }
         assertThat(s.state(0)).isEqualTo(HallState.DOUBTED);
-        s.pass(4 * S, s.b, List.of());
+        s.run(4 * SECOND, s.serversInB, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
     }
 
     @Test
-    void aLoneServerIsBelievedLostOnlyAfterASecondWord() {
-        Stage s = new Stage(1, 4, 1);
-        s.halls.recordFault(s.now, s.a.get(0), HallServer.Fault.UNREACHABLE);
-        s.pass(3 * S, s.b, List.of());
+    void aSingleServerHallGoesDarkOnlyAfterASecondFault() {
+        Fixture s = new Fixture(1, 4, 1);
+        s.halls.recordFault(s.now, s.serversInA.get(0), HallServer.Fault.UNREACHABLE);
+        s.run(3 * SECOND, s.serversInB, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
-        s.pass(2 * S, s.b, s.a);
+        s.run(2 * SECOND, s.serversInB, s.serversInA);
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
     }
 
     @Test
-    void aPlannedDrainIsNoDoubtAndNoFlap() {
-        Stage s = new Stage(3, 4, 1);
+    void aPlannedDrainCausesNeitherDoubtNorHoldOff() {
+        Fixture s = new Fixture(3, 4, 1);
         for (int round = 0; round < 3; round++) {
-            s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, true, 0));
-            s.pass(2 * S, s.b, List.of());
-            s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
-            s.pass(8 * S, s.b, List.of());
+            s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, true, 0));
+            s.run(2 * SECOND, s.serversInB, List.of());
+            s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
+            s.run(8 * SECOND, s.serversInB, List.of());
             assertThat(s.state(0)).isEqualTo(HallState.DARK);
             long started = s.now;
-            s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, started));
-            s.pass(TURN, s.b, List.of());
+            s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, started));
+            s.run(UPDATE_INTERVAL, s.serversInB, List.of());
             assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-            s.pass(S, s.b, List.of());
+            s.run(SECOND, s.serversInB, List.of());
             for (int k = 0; k < 30; k++) {
-                s.a.stream().filter(p -> s.taking(s.a, 1, 1, true).contains(p)).forEach(p -> s.serve(p, 100 * MS));
+                s.serversInA.stream()
+                        .filter(p -> s.usable(s.serversInA, 1, 1, true).contains(p))
+                        .forEach(p -> s.serve(p, 100 * MS));
             }
-            s.pass(2 * S, s.a, List.of());
+            s.run(2 * SECOND, s.serversInA, List.of());
             assertThat(s.state(0)).isEqualTo(HallState.SERVING);
         }
-        assertThat(s.news).noneMatch(line -> line.contains("doubted") || line.contains("held"));
+        assertThat(s.logLines).noneMatch(line -> line.contains("doubted") || line.contains("held"));
     }
 
     @Test
-    void aListThatForgetsAHallForAMomentDoesNotMakeItCold() {
-        Stage s = new Stage(4, 4, 1);
-        s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
-        s.pass(S, s.a, List.of());
+    void aHallBrieflyMissingFromTheServerListServesAtOnceWhenListedAgain() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
+        s.run(SECOND, s.serversInA, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, 0));
-        s.pass(TURN, s.a, List.of());
+        s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, 0));
+        s.run(UPDATE_INTERVAL, s.serversInA, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void aReturningHallProvesItselfServerByServer() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.b, s.a);
-        s.halls.recordProbe(s.now, s.a.get(0), true);
-        s.pass(TURN, s.b, List.of());
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
+        s.halls.recordProbe(s.now, s.serversInA.get(0), true);
+        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.pass(S, s.b, List.of());
-        HallServer first = s.taking(s.a, 1, 1, true).get(0);
+        s.run(SECOND, s.serversInB, List.of());
+        HallServer first = s.usable(s.serversInA, 1, 1, true).get(0);
         s.halls.recordSent(s.now, first, 1, 0);
-        assertThat(s.taking(s.a, 1, 1, true)).isEmpty(); // one trial, not one for each server
+        assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty(); // one trial, not one for each server
         s.halls.recordEnd(s.now, first, s.now, 1, true);
-        assertThat(s.taking(s.a, 1, 1, true)).contains(first);
+        assertThat(s.usable(s.serversInA, 1, 1, true)).contains(first);
         // What it may hold grows with what it serves.
-        int most = 0;
+        int previousLimit = 0;
         for (int round = 0; round < 6; round++) {
-            int out = 0;
-            while (out < 100 && s.taking(List.of(first), 1, 1, true).size() == 1) {
+            int accepted = 0;
+            while (accepted < 100 && s.usable(List.of(first), 1, 1, true).size() == 1) {
                 s.halls.recordSent(s.now, first, 1, 0);
-                out++;
+                accepted++;
             }
-            assertThat(out).isGreaterThan(most);
-            most = out;
-            for (int k = 0; k < out; k++) {
+            assertThat(accepted).isGreaterThan(previousLimit);
+            previousLimit = accepted;
+            for (int k = 0; k < accepted; k++) {
                 s.halls.recordEnd(s.now, first, s.now, 1, k == 0);
             }
         }
     }
 
     @Test
-    void oldAnswersAreASignButProveNothing() {
-        Stage s = new Stage(4, 4, 1);
+    void resultsOfEarlierJobsAreASignOfLifeButProveNothing() {
+        Fixture s = new Fixture(4, 4, 1);
         long sentAt = s.now;
-        s.a.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
-        s.pass(S, s.b, s.a);
+        s.serversInA.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
+        s.run(SECOND, s.serversInB, s.serversInA);
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        s.halls.recordEnd(s.now, s.a.get(0), sentAt, 1, true);
-        s.pass(TURN, s.b, List.of());
+        s.halls.recordEnd(s.now, s.serversInA.get(0), sentAt, 1, true);
+        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.a.subList(1, 4).forEach(p -> s.halls.recordEnd(s.now, p, sentAt, 1, true)); // the rest comes while it returns
-        s.pass(S, s.b, List.of());
-        HallServer first = s.taking(s.a, 1, 1, true).get(0);
+        s.serversInA
+                .subList(1, 4)
+                .forEach(p -> s.halls.recordEnd(s.now, p, sentAt, 1, true)); // the rest comes while it returns
+        s.run(SECOND, s.serversInB, List.of());
+        HallServer first = s.usable(s.serversInA, 1, 1, true).get(0);
         s.halls.recordSent(s.now, first, 1, 0);
-        assertThat(s.taking(s.a, 1, 1, true)).isEmpty();
+        assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty();
     }
 
     @Test
-    void aHalfWorkingHallIsHeldAtWhatItServes() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.b, s.a);
-        List<HallServer> good = s.a.subList(0, 2), bad = s.a.subList(2, 4);
-        s.pass(TURN, good, List.of());
+    void aHalfWorkingHallKeepsReturningAndUsesOnlyProvenServers() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
+        List<HallServer> answering = s.serversInA.subList(0, 2), failing = s.serversInA.subList(2, 4);
+        s.run(UPDATE_INTERVAL, answering, List.of());
         for (int k = 0; k < 200; k++) {
-            for (HallServer p : s.taking(s.a, 1, 1, true)) {
+            for (HallServer p : s.usable(s.serversInA, 1, 1, true)) {
                 s.halls.recordSent(s.now, p, 1, 0);
-                s.halls.recordEnd(s.now, p, s.now, 1, good.contains(p));
+                s.halls.recordEnd(s.now, p, s.now, 1, answering.contains(p));
             }
-            s.pass(TURN, good, bad);
+            s.run(UPDATE_INTERVAL, answering, failing);
         }
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        assertThat(s.taking(good, 1, 1, true)).hasSize(2);
-        assertThat(s.taking(bad, 1, 1, false)).isEmpty();
+        assertThat(s.usable(answering, 1, 1, true)).hasSize(2);
+        assertThat(s.usable(failing, 1, 1, false)).isEmpty();
     }
 
     @Test
     void aHallThatFlapsIsHeldOffForLongerEachTime() {
-        Stage s = new Stage(4, 4, 1);
-        List<Long> held = new ArrayList<>();
-        s.pass(S, s.b, s.a);
+        Fixture s = new Fixture(4, 4, 1);
+        List<Long> holdOffs = new ArrayList<>();
+        s.run(SECOND, s.serversInB, s.serversInA);
         for (int flap = 0; flap < 3; flap++) {
-            s.pass(TURN, s.a, List.of());
+            s.run(UPDATE_INTERVAL, s.serversInA, List.of());
             for (int k = 0; k < 40 && s.state(0) == HallState.RETURNING; k++) {
-                for (HallServer p : s.taking(s.a, 1, 1, true)) {
+                for (HallServer p : s.usable(s.serversInA, 1, 1, true)) {
                     s.halls.recordSent(s.now, p, 1, 0);
                     s.halls.recordEnd(s.now, p, s.now, 1, true);
                 }
-                s.pass(TURN, s.a, List.of());
+                s.run(UPDATE_INTERVAL, s.serversInA, List.of());
             }
             for (int k = 0; k < 50 && s.state(0) != HallState.HELD; k++) {
-                s.pass(TURN, s.b, s.a);
+                s.run(UPDATE_INTERVAL, s.serversInB, s.serversInA);
             }
             assertThat(s.state(0)).isEqualTo(HallState.HELD);
             long from = s.now;
-            assertThat(s.taking(s.a, 1, 1, true)).isEmpty();
-            while (s.state(0) == HallState.HELD && s.now - from < 60 * S) {
-                s.pass(TURN, s.a, List.of()); // it looks well all the time
+            assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty();
+            while (s.state(0) == HallState.HELD && s.now - from < 60 * SECOND) {
+                s.run(UPDATE_INTERVAL, s.serversInA, List.of()); // it looks well all the time
             }
-            held.add(s.now - from);
+            holdOffs.add(s.now - from);
         }
-        assertThat(held.get(0)).isBetween(3 * S, 7 * S);
-        assertThat(held.get(1)).isBetween(7 * S, 13 * S);
-        assertThat(held.get(2)).isBetween(14 * S, 26 * S);
+        assertThat(holdOffs.get(0)).isBetween(3 * SECOND, 7 * SECOND);
+        assertThat(holdOffs.get(1)).isBetween(7 * SECOND, 13 * SECOND);
+        assertThat(holdOffs.get(2)).isBetween(14 * SECOND, 26 * SECOND);
     }
 
     @Test
-    void cutOffAloneIsToldApartFromDark() {
-        Stage s = new Stage(4, 4, 2), other = new Stage(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
+    void aHallCutOffOnlyFromThisSchedulerIsLoggedAsCutOff() {
+        Fixture s = new Fixture(4, 4, 2), other = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
         for (int k = 0; k < 20; k++) {
             other.now = s.now;
-            other.pass(TURN, other.a, List.of());
-            s.hear(other.halls, 1);
-            s.pass(TURN, s.b, s.a);
+            other.run(UPDATE_INTERVAL, other.serversInA, List.of());
+            s.receiveFrom(other.halls, 1);
+            s.run(UPDATE_INTERVAL, s.serversInB, s.serversInA);
         }
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        assertThat(s.news).anyMatch(line -> line.contains("cut-off"));
+        assertThat(s.logLines).anyMatch(line -> line.contains("cut-off"));
         assertThat(other.state(0)).isEqualTo(HallState.SERVING);
         // Its own trouble must not keep others' work out of a hall that serves.
-        other.hear(s.halls, 0);
-        Stage far = new Stage(4, 4, 3, HallRules.defaults(NAMES, 1), 2);
+        other.receiveFrom(s.halls, 0);
+        Fixture far = new Fixture(4, 4, 3, HallRules.defaults(NAMES, 1), 2);
         far.now = s.now;
-        far.pass(TURN, far.a, List.of());
-        far.hear(s.halls, 0);
-        assertThat(far.taking(far.a, 1, 1, true)).hasSize(4);
+        far.run(UPDATE_INTERVAL, far.serversInA, List.of());
+        far.receiveFrom(s.halls, 0);
+        assertThat(far.usable(far.serversInA, 1, 1, true)).hasSize(4);
     }
 
     @Test
-    void aFreshSchedulerBelievesTheOthers() {
-        Stage other = new Stage(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
-        other.pass(S, other.b, other.a);
-        Stage s = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 0);
-        s.a.forEach(p -> p.signAt = Long.MIN_VALUE / 2); // it has never heard of any
+    void aFreshSchedulerBelievesItsPeers() {
+        Fixture other = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
+        other.run(SECOND, other.serversInB, other.serversInA);
+        Fixture s = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 0);
+        s.serversInA.forEach(p -> p.lastSignAt = Long.MIN_VALUE / 2); // it has never heard of any
         s.now = other.now;
-        s.pass(S, s.b, List.of()); // it was not there before: nothing counts yet
-        s.hear(other.halls, 1);
-        s.pass(TURN, s.b, List.of());
+        s.run(SECOND, s.serversInB, List.of()); // it was not there before: nothing counts yet
+        s.receiveFrom(other.halls, 1);
+        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.DARK);
         // It does not say so itself: a rumour would come back to its teller as a second voice.
-        HallTalk.Message told = HallTalk.read(s.halls.nextMessage(s.now), 3);
+        HallMessageCodec.Message told = HallMessageCodec.decode(s.halls.nextMessage(s.now), 3);
         assertThat(told.halls().get(0).state()).isEqualTo(HallState.SERVING);
     }
 
     @Test
-    void aTroubledHallTakesNoGuests() {
-        Stage home = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
-        Stage s = new Stage(4, 4, 2);
-        assertThat(s.taking(s.b, 1, 1, true)).hasSize(4);
-        home.pass(2 * S, home.a, home.b);
+    void aTroubledHallTakesNoForeignWork() {
+        Fixture home = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
+        Fixture s = new Fixture(4, 4, 2);
+        assertThat(s.usable(s.serversInB, 1, 1, true)).hasSize(4);
+        home.run(2 * SECOND, home.serversInA, home.serversInB);
         s.now = home.now;
-        s.pass(TURN, s.b, List.of());
-        s.hear(home.halls, 1);
-        assertThat(s.taking(s.b, 1, 1, true)).isEmpty();
+        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
+        s.receiveFrom(home.halls, 1);
+        assertThat(s.usable(s.serversInB, 1, 1, true)).isEmpty();
     }
 
     @Test
-    void workFromOutsideStaysWithinThePartAndTheWorthiestGetsTheLastOfIt() {
-        Stage s = new Stage(4, 4, 2); // 20 slots in b, two schedulers: 10 each
+    void foreignWorkStaysWithinTheSpillLimitAndHighWorthGetsTheLastOfIt() {
+        Fixture s = new Fixture(4, 4, 2); // 20 slots in b, two schedulers: 10 each
         double sent = 0;
-        while (sent < 100 && !s.taking(s.b, 1, 0.2, true).isEmpty()) {
-            s.halls.recordSent(s.now, s.b.get(0), 1, 0);
+        while (sent < 100 && !s.usable(s.serversInB, 1, 0.2, true).isEmpty()) {
+            s.halls.recordSent(s.now, s.serversInB.get(0), 1, 0);
             sent++;
         }
         assertThat(sent).isEqualTo(7); // 0.76 of 10
-        while (sent < 100 && !s.taking(s.b, 1, 1, true).isEmpty()) {
-            s.halls.recordSent(s.now, s.b.get(0), 1, 0);
+        while (sent < 100 && !s.usable(s.serversInB, 1, 1, true).isEmpty()) {
+            s.halls.recordSent(s.now, s.serversInB.get(0), 1, 0);
             sent++;
         }
         assertThat(sent).isEqualTo(10);
-        assertThat(s.taking(s.a, 1, 1, true)).hasSize(4); // at home there is no such limit
+        assertThat(s.usable(s.serversInA, 1, 1, true)).hasSize(4); // at home there is no such limit
     }
 
     @Test
-    void crowdedDinersOfItsOwnMakeAHallLessWelcoming() {
-        Stage home = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
-        Stage s = new Stage(4, 4, 2);
+    void aHallCrowdedByItsOwnRequestsAcceptsLessForeignWork() {
+        Fixture home = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
+        Fixture s = new Fixture(4, 4, 2);
         for (int k = 0; k < 100; k++) {
             home.halls.recordRefusal(home.now, 1);
-            home.pass(TURN, home.b, List.of());
+            home.run(UPDATE_INTERVAL, home.serversInB, List.of());
         }
         s.now = home.now;
-        s.pass(TURN, s.b, List.of());
-        double before = s.halls.part(s.now, 1);
-        s.hear(home.halls, 1);
-        assertThat(s.halls.part(s.now, 1)).isLessThan(before / 10);
-        home.pass(10 * S, home.b, List.of());
+        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
+        double before = s.halls.spillLimit(s.now, 1);
+        s.receiveFrom(home.halls, 1);
+        assertThat(s.halls.spillLimit(s.now, 1)).isLessThan(before / 10);
+        home.run(10 * SECOND, home.serversInB, List.of());
         s.now = home.now;
-        s.hear(home.halls, 1);
-        assertThat(s.halls.part(s.now, 1)).isGreaterThan(before); // and its scheduler is known not to share any more
+        s.receiveFrom(home.halls, 1);
+        assertThat(s.halls.spillLimit(s.now, 1))
+                .isGreaterThan(before); // and its scheduler is known not to share any more
     }
 
     @Test
-    void retriesOfAHallThatEndsAtOnceAreBoundedAndTheWorthiestComeFirst() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.b, s.a);
-        int poor = 0, rich = 0;
-        while (poor < 100 && s.halls.mayRetry(s.now, s.a.get(0), 0.1)) {
-            poor++;
+    void retriesAfterAHallFailureAreBoundedAndReservedForHighWorth() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
+        int lowWorthRetries = 0, highWorthRetries = 0;
+        while (lowWorthRetries < 100 && s.halls.mayRetry(s.now, s.serversInA.get(0), 0.1)) {
+            lowWorthRetries++;
         }
-        while (rich < 100 && s.halls.mayRetry(s.now, s.a.get(0), 1)) {
-            rich++;
+        while (highWorthRetries < 100 && s.halls.mayRetry(s.now, s.serversInA.get(0), 1)) {
+            highWorthRetries++;
         }
-        assertThat(poor).isBetween(1, 5);
-        assertThat(poor + rich).isEqualTo(10);
-        assertThat(s.halls.mayRetry(s.now, s.b.get(0), 0)).isTrue(); // one server's trouble in a hall that serves
+        assertThat(lowWorthRetries).isBetween(1, 5);
+        assertThat(lowWorthRetries + highWorthRetries).isEqualTo(10);
+        assertThat(s.halls.mayRetry(s.now, s.serversInB.get(0), 0))
+                .isTrue(); // one server's trouble in a hall that serves
     }
 
     @Test
     void strictTiersOpenAFurtherHallOnlyInALaterRound() {
         HallRules usual = HallRules.defaults(NAMES, 0);
-        HallRules strict = new HallRules(NAMES, 0, List.of(0, 1), true, 0.5, 0.6, S, S / 2, S, S, S, S, 0.1, 10);
-        Stage s = new Stage(4, 4, 1, strict, 0);
+        HallRules strict = new HallRules(
+                NAMES, 0, List.of(0, 1), true, 0.5, 0.6, SECOND, SECOND / 2, SECOND, SECOND, SECOND, SECOND, 0.1, 10);
+        Fixture s = new Fixture(4, 4, 1, strict, 0);
         assertThat(s.halls.tierRounds()).isEqualTo(2);
-        assertThat(s.taking(s.b, 1, 1, true)).isEmpty();
-        assertThat(s.taking(s.b, 1, 1, true, 1)).hasSize(4);
-        assertThat(new Stage(4, 4, 1, usual, 0).halls.tierRounds()).isEqualTo(1);
+        assertThat(s.usable(s.serversInB, 1, 1, true)).isEmpty();
+        assertThat(s.usable(s.serversInB, 1, 1, true, 1)).hasSize(4);
+        assertThat(new Fixture(4, 4, 1, usual, 0).halls.tierRounds()).isEqualTo(1);
     }
 
     @Test
-    void aPauseOfOurOwnIsNotHeldAgainstAnyHall() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.a, List.of());
-        s.now += 5 * S;
-        s.a.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
-        s.b.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
-        s.pass(TURN, List.of(), List.of());
-        s.pass(2 * S, allOf(s), List.of());
-        assertThat(s.news).isEmpty();
+    void aPauseOfThisProcessIsNoEvidenceAgainstAnyHall() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInA, List.of());
+        s.now += 5 * SECOND;
+        s.serversInA.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
+        s.serversInB.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
+        s.run(UPDATE_INTERVAL, List.of(), List.of());
+        s.run(2 * SECOND, allServers(s), List.of());
+        assertThat(s.logLines).isEmpty();
     }
 
-    private static List<HallServer> allOf(Stage s) {
-        List<HallServer> all = new ArrayList<>(s.a);
-        all.addAll(s.b);
+    private static List<HallServer> allServers(Fixture s) {
+        List<HallServer> all = new ArrayList<>(s.serversInA);
+        all.addAll(s.serversInB);
         return all;
     }
 
     @Test
-    void whenNoHallIsLeftEachServerIsTriedWithOneJob() {
-        Stage s = new Stage(3, 3, 1);
-        s.pass(3 * S, List.of(), allOf(s));
+    void inPanicEachServerGetsOneJob() {
+        Fixture s = new Fixture(3, 3, 1);
+        s.run(3 * SECOND, List.of(), allServers(s));
         assertThat(s.halls.states()).containsOnly(HallState.DARK);
-        List<HallServer> open = s.taking(allOf(s), 1, 1, false);
+        List<HallServer> open = s.usable(allServers(s), 1, 1, false);
         assertThat(open).hasSize(6);
         open.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
-        assertThat(s.taking(allOf(s), 1, 1, false)).isEmpty();
+        assertThat(s.usable(allServers(s), 1, 1, false)).isEmpty();
     }
 
     @Test
-    void whatProvedItselfBeforeIsTriedLikeTheRestWhenNoHallIsLeft() {
-        Stage s = new Stage(3, 3, 1);
-        s.pass(S, s.b, s.a);
-        s.pass(S, allOf(s), List.of());
-        s.serve(s.taking(s.a, 1, 1, true).get(0), TURN);
-        s.pass(3 * S, List.of(), allOf(s));
+    void inPanicAServerProvenEarlierGetsOneJobToo() {
+        Fixture s = new Fixture(3, 3, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
+        s.run(SECOND, allServers(s), List.of());
+        s.serve(s.usable(s.serversInA, 1, 1, true).get(0), UPDATE_INTERVAL);
+        s.run(3 * SECOND, List.of(), allServers(s));
         assertThat(s.halls.states()).doesNotContain(HallState.SERVING, HallState.RETURNING, HallState.DOUBTED);
-        List<HallServer> open = s.taking(allOf(s), 1, 1, false);
+        List<HallServer> open = s.usable(allServers(s), 1, 1, false);
         open.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
-        assertThat(s.taking(allOf(s), 1, 1, false)).isEmpty();
+        assertThat(s.usable(allServers(s), 1, 1, false)).isEmpty();
     }
 
     @Test
-    void aHallOfAllNewServersComesBackGently() {
-        Stage s = new Stage(4, 4, 1);
-        s.pass(S, s.b, s.a);
-        s.a.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
-        s.pass(S, s.b, List.of());
+    void aHallOfNewServersReturnsWithOneJobAtATime() {
+        Fixture s = new Fixture(4, 4, 1);
+        s.run(SECOND, s.serversInB, s.serversInA);
+        s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
+        s.run(SECOND, s.serversInB, List.of());
         List<HallServer> fresh = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
-            fresh.add(s.add("new" + k, 0, s.now));
+            fresh.add(s.addServer("new" + k, 0, s.now));
         }
-        s.pass(TURN, s.b, List.of());
+        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
         assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.pass(S, s.b, List.of());
-        s.halls.recordSent(s.now, s.taking(fresh, 1, 1, true).get(0), 1, 0);
-        assertThat(s.taking(fresh, 1, 1, true)).isEmpty();
+        s.run(SECOND, s.serversInB, List.of());
+        s.halls.recordSent(s.now, s.usable(fresh, 1, 1, true).get(0), 1, 0);
+        assertThat(s.usable(fresh, 1, 1, true)).isEmpty();
     }
 
     @Test
     void datagramsAreCheckedAndOldOnesDropped() {
-        Stage s = new Stage(4, 4, 2), other = new Stage(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
+        Fixture s = new Fixture(4, 4, 2), other = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
         byte[] first = other.halls.nextMessage(other.now);
         for (int k = 0; k < 20; k++) {
             other.halls.recordRefusal(other.now, 1);
-            other.pass(TURN, other.b, List.of());
+            other.run(UPDATE_INTERVAL, other.serversInB, List.of());
         }
         byte[] second = other.halls.nextMessage(other.now);
         assertThat(second.length).isLessThanOrEqualTo(256);
         assertThat(s.halls.receive(s.now, 1, second)).isTrue();
-        double part = s.halls.part(s.now, 1);
+        double part = s.halls.spillLimit(s.now, 1);
         assertThat(s.halls.receive(s.now, 1, first)).isTrue();
-        assertThat(s.halls.part(s.now, 1)).isEqualTo(part);
+        assertThat(s.halls.spillLimit(s.now, 1)).isEqualTo(part);
         for (int cut = 1; cut < second.length; cut++) {
             assertThat(s.halls.receive(s.now, 1, java.util.Arrays.copyOf(second, cut)))
                     .isTrue();
         }
         assertThat(s.halls.receive(s.now, 1, new byte[] {1, 2, 3})).isFalse();
-        assertThat(HallTalk.read(new byte[] {3, 0, 0, 0, 0, 0, 1, 9, 0, 0, 0, 0, 0, 0}, 3))
+        assertThat(HallMessageCodec.decode(new byte[] {3, 0, 0, 0, 0, 0, 1, 9, 0, 0, 0, 0, 0, 0}, 3))
                 .isNull();
     }
 }
