--- a/src/main/java/barrowshore/budget/ColdWorkerBudget.java
+++ b/src/main/java/barrowshore/budget/ColdWorkerBudget.java
@@ -4,61 +4,68 @@
 import java.util.List;
 
 /**
- * One scheduler's part in what all of them together may send to one worker that has just started. It owns what this
- * scheduler has sent there lately. Its sums hold without a word between schedulers, so it must never lean on what one has
- * learned and another has not: whose turn it is follows from the settings, the worker's name and the clock that all
- * read.
+ * One scheduler's share of the work that all schedulers together may send to one cold (recently started) worker. Owned by
+ * the worker's record; remembers the jobs that this scheduler sent there within the window. The total holds without
+ * communication, so whose turn it is must never depend on what only some schedulers know: it follows from the settings,
+ * the worker's name and the clock, which all of them share.
  *
- * <p>The whole, an amount of work in any window, is cut into equal tracks. On each track schedulers take turns that end
- * in a quiet time longer than the window, so that a window meets the sends of one turn of each track alone, and chance
- * does not enter. Tracks are out of phase, so that some scheduler may send at any time. Many tracks serve many
- * schedulers at once, but each must hold a few jobs to be of use.
+ * <p>The total amount of work in any window is cut into equal tracks. On each track schedulers take turns that end in a
+ * quiet time longer than the window, so that any window contains the sends of at most one turn of each track. Tracks are
+ * out of phase, so that some scheduler may send at any time. More tracks let more schedulers send at once, but each track
+ * must have room for a few jobs.
  */
 public final class ColdWorkerBudget {
-    /** A turn and its quiet end, in windows; the share of the whole that is used, against estimates that may be high. */
-    private static final double TURN_WINDOWS = 4, QUIET_WINDOWS = 1.1, USED_SHARE = 0.85;
-    /** Usual jobs, as the classes' aims have them, for which a fully warm core has room in a track's window. */
+    /** Length of a turn and of its quiet end, in windows. */
+    private static final double TURN_WINDOWS = 4, QUIET_WINDOWS = 1.1;
+    /** Share of the total that is used; the rest is a margin for estimates of the total that are too high. */
+    private static final double USED_SHARE = 0.85;
+    /** Jobs of the classes' mean target duration for which a fully warm core has room in one track's window. */
     private static final double JOBS_PER_TRACK = 10;
 
     /**
-     * What all schedulers share: how many they are, this one's number from 0, the window in microseconds, and the number
-     * of tracks. startedAt: when this process started, {@link #STARTED_LONG_AGO} if no turn of before can matter any more.
+     * The rules of the turns, the same for all schedulers but for ownIndex (counted from 0) and startedAt: when this
+     * process started, or {@link #STARTED_LONG_AGO} if no turn from before its start can matter any more.
      */
     public record Terms(int schedulers, int ownIndex, long windowMicros, int tracks, long startedAt) {
         private static final long STARTED_LONG_AGO = Long.MIN_VALUE / 2;
 
         public Terms {
             if (schedulers < 1 || ownIndex < 0 || windowMicros <= 0 || tracks < 1) {
-                throw new IllegalArgumentException("a turn needs a scheduler, a window and a track");
+                throw new IllegalArgumentException(
+                        "cold worker budget: schedulers, window and tracks must be positive, ownIndex not negative");
             }
         }
 
-        /** Terms of a process that has been up for long. */
+        /** Terms of a process that started long ago. */
         public Terms(int schedulers, int ownIndex, long windowMicros, int tracks) {
             this(schedulers, ownIndex, windowMicros, tracks, STARTED_LONG_AGO);
         }
 
         /**
-         * The terms of a process that started then. In a turn that had begun before, a process of the same name may have
-         * sent what is due to the scheduler, and this one does not know: it sends nothing until the next turn.
+         * These terms for a process that started at that time. In a turn that began earlier, a predecessor of the same name
+         * may have used up the turn's budget, unknown to this process: it sends nothing until its next turn.
          */
         public Terms startedAt(long startTime) {
             return new Terms(schedulers, ownIndex, windowMicros, tracks, startTime);
         }
 
-        /** These terms for the process that had the others before, if any. */
+        /** These terms with the start time of the process's previous terms; null: there were none. */
         public Terms keepStartOf(Terms previous) {
             return previous == null ? this : startedAt(previous.startedAt);
         }
 
-        /** As many tracks as hold a few jobs each: multiple times the window against the mean aim of the classes. */
-        public static Terms of(int schedulers, int ownIndex, long windowMicros, double multiple, double meanAimMicros) {
-            int tracks =
-                    (int) Math.min(schedulers, multiple * windowMicros / Math.max(1, meanAimMicros) / JOBS_PER_TRACK);
+        /**
+         * Terms with as many tracks as leave each room for {@link #JOBS_PER_TRACK} jobs of the mean target duration;
+         * windowsOfWork: work per window that a fully warm core may be sent, in windows.
+         */
+        public static Terms of(
+                int schedulers, int ownIndex, long windowMicros, double windowsOfWork, double meanTargetMicros) {
+            int tracks = (int)
+                    Math.min(schedulers, windowsOfWork * windowMicros / Math.max(1, meanTargetMicros) / JOBS_PER_TRACK);
             return new Terms(schedulers, ownIndex, windowMicros, Math.max(1, tracks));
         }
 
-        /** Whether this scheduler has a turn at that worker, not in its quiet end, begun with this process up. */
+        /** Whether this scheduler may send in a turn at that worker that began after this process started. */
         public boolean hasTurn(long now, int workerHash) {
             long period = (long) (TURN_WINDOWS * windowMicros);
             for (int track = 0; track < tracks; track++) {
@@ -78,7 +85,7 @@
 
     private final List<SentJob> sentJobs = new ArrayList<>(0);
 
-    /** Whether a job of that size may go now, where all schedulers may send so much in any window. */
+    /** Whether a job may be sent now, where all schedulers together may send totalPerWindow, in the unit of size. */
     public boolean allows(long now, Terms terms, int workerHash, double totalPerWindow, double size) {
         if (!terms.hasTurn(now, workerHash)) {
             return false;
@@ -90,13 +97,13 @@
         return used <= USED_SHARE * totalPerWindow / terms.tracks;
     }
 
-    /** A job of that size goes now; what has left the window is forgotten. */
+    /** Records a job sent now, and forgets those older than the window. */
     public void recordSent(long now, Terms terms, double size) {
         sentJobs.removeIf(job -> job.sentAt <= now - terms.windowMicros);
         sentJobs.add(new SentJob(now, size));
     }
 
-    /** The worker has started anew: what came before weighs no more. */
+    /** Forgets all sent jobs: the worker has restarted. */
     public void clear() {
         sentJobs.clear();
     }
--- a/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
+++ b/src/test/java/barrowshore/budget/ColdWorkerBudgetTest.java
@@ -7,15 +7,15 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Who has a turn; that all together stay under the whole is tried with real modules in RulesTest. */
+/** Tests who has a turn. RulesTest tests with real dispatchers that all together stay within the total. */
 class ColdWorkerBudgetTest {
-    private static final long WINDOW = 3_000_000;
+    private static final long WINDOW_MICROS = 3_000_000;
 
-    /** One scheduler in fourteen at a time would leave a worker that is warm after eight windows to three of them. */
+    /** With one turn at a time, only 3 of 14 schedulers would reach a worker that is warm after eight windows. */
     @Test
     void manySchedulersGetATurnSoonWhereTheWindowHoldsManyJobs() {
         assertThat(IntStream.range(0, 14)
-                        .mapToObj(k -> ColdWorkerBudget.Terms.of(14, k, WINDOW, 3, 180_000))
+                        .mapToObj(k -> ColdWorkerBudget.Terms.of(14, k, WINDOW_MICROS, 3, 180_000))
                         .filter(terms -> LongStream.range(0, 900).anyMatch(t -> terms.hasTurn(t * 10_000, 12345)))
                         .count())
                 .isGreaterThanOrEqualTo(7);
@@ -25,28 +25,30 @@
     void oneTrackIsUsedWhereTheWindowHoldsFewJobs() {
         assertThat(ColdWorkerBudget.Terms.of(14, 0, 2_000_000, 3, 417_000).tracks())
                 .isEqualTo(1);
-        assertThat(ColdWorkerBudget.Terms.of(1, 0, WINDOW, 3, 1).tracks()).isEqualTo(1);
+        assertThat(ColdWorkerBudget.Terms.of(1, 0, WINDOW_MICROS, 3, 1).tracks())
+                .isEqualTo(1);
         assertThatThrownBy(() -> new ColdWorkerBudget.Terms(1, 0, 0, 1)).hasMessageContaining("window");
     }
 
-    /** What a process of the same name sent before, in the same turn, is not known to the one that follows it. */
+    /** A restarted scheduler does not know what its predecessor sent in the same turn. */
     @Test
     void aFreshProcessSendsNothingInATurnThatBeganBeforeIt() {
-        ColdWorkerBudget.Terms old = ColdWorkerBudget.Terms.of(30, 7, WINDOW, 3, 180_000);
-        long[] turns = LongStream.range(0, 100_000)
+        ColdWorkerBudget.Terms longRunning = ColdWorkerBudget.Terms.of(30, 7, WINDOW_MICROS, 3, 180_000);
+        long[] timesWithTurn = LongStream.range(0, 100_000)
                 .map(t -> t * 10_000)
-                .filter(t -> old.hasTurn(t, 12345) && old.hasTurn(t + 1, 12345))
+                .filter(t -> longRunning.hasTurn(t, 12345) && longRunning.hasTurn(t + 1, 12345))
                 .toArray();
-        long start = turns[turns.length / 2] + 1;
-        ColdWorkerBudget.Terms fresh = old.startedAt(start);
+        long start = timesWithTurn[timesWithTurn.length / 2] + 1;
+        ColdWorkerBudget.Terms fresh = longRunning.startedAt(start);
         assertThat(fresh.hasTurn(start, 12345)).isFalse();
         assertThat(new ColdWorkerBudget().allows(start, fresh, 12345, 1e9, 1)).isFalse();
-        assertThat(new ColdWorkerBudget().allows(start, old, 12345, 1e9, 1)).isTrue();
-        long first = LongStream.of(turns)
+        assertThat(new ColdWorkerBudget().allows(start, longRunning, 12345, 1e9, 1))
+                .isTrue();
+        long firstTime = LongStream.of(timesWithTurn)
                 .filter(t -> fresh.hasTurn(t, 12345))
                 .findFirst()
                 .orElseThrow();
-        assertThat(first).isGreaterThan(start);
-        assertThat(LongStream.of(turns).filter(t -> t >= first)).allMatch(t -> fresh.hasTurn(t, 12345));
+        assertThat(firstTime).isGreaterThan(start);
+        assertThat(LongStream.of(timesWithTurn).filter(t -> t >= firstTime)).allMatch(t -> fresh.hasTurn(t, 12345));
     }
 }
