--- a/src/main/java/barrowshore/halls/Hall.java
+++ b/src/main/java/barrowshore/halls/Hall.java
@@ -6,44 +6,55 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The state machine of one hall, moved by evidence weighed by capacity. It owns the hall's places and its state, and
- * must never move on the trouble of one or two servers of a hall that has more, on a planned drain, or on what peers say
- * alone where there is evidence of our own.
+ * The failure detector of one hall: a state machine driven by evidence about its servers, weighted by capacity. Owned by
+ * {@link Halls}. One or two lost servers of a larger hall, a planned drain, or peers' reports that contradict this
+ * scheduler's own evidence never change the state.
  */
 final class Hall {
-    /** Why a hall is dark. */
+    /** Why a hall is dark; the names appear in log lines. */
     enum DarkReason {
+        /** The hall is not dark, or has recovered. */
         NONE,
+        /** Its servers failed. */
         LOST,
+        /** Its servers are unreachable from this scheduler, but peers are served there. */
         CUT_OFF,
+        /** The server list no longer names any of its servers. */
         UNLISTED,
+        /** Its servers were drained. */
         PLANNED,
+        /** Peers report it dark, and this scheduler has no evidence of its own. */
         TOLD
     }
 
-    /** A sign counts as of now for so long; so does what only says that something happened. */
+    /** How long a sign of life, or a connection reset, counts as current evidence. */
     private static final long SIGN_VALID_MICROS = 3_000_000;
-    /** At this share lost a doubt is settled at once, and below this one it is over. */
+    /** A doubted hall with at least this lost share goes dark without waiting for darkAfter. */
     private static final double IMMEDIATE_DARK_LOST_SHARE = 0.9;
-
+    /** This lost share is enough for a doubt if peers report the hall dark. */
+    private static final double PEER_BACKED_DOUBT_LOST_SHARE = 0.5;
+    /** Below this lost share a doubted hall serves again. */
     private static final double DOUBT_END_LOST_SHARE = 0.4;
-    /** Servers in trouble that never move a larger hall. */
+    /** Up to so many lost servers never change the state of a hall that has more servers. */
     private static final int MAX_IGNORED_LOST_SERVERS = 2;
-    /** Words against a lone server, or a pair, until they are believed: there is nothing to weigh them against. */
+    /** Faults per server before a fully lost hall of one or two is doubted: it has no other servers to compare with. */
     private static final int SMALL_HALL_FAULTS_PER_SERVER = 2;
-    /** Share of the listed capacity that must have served for a hall to be back. */
+    /** Share of the active capacity that must be proven before a returning hall serves. */
     private static final double RECOVERED_WEIGHT_SHARE = 0.8;
-    /** A first job that is out for longer does not keep others from being tried. */
+    /** A first job that takes longer no longer counts against the number of servers tried at once. */
     private static final long FIRST_JOB_TIMEOUT_MICROS = 2_000_000;
-    /** Most doublings of the pause between trials. */
+
     private static final int MAX_TRIAL_PAUSE_DOUBLINGS = 3;
-    /** Servers of a doubted or dark hall probed at once. */
+    /** For a doubted or returning hall; a dark one gets a single probe. */
     private static final int MAX_PROBES_PER_UPDATE = 3;
-    /** No server is probed again within this. */
+    /** Between two probes of the same server. */
     private static final long MIN_PROBE_INTERVAL_MICROS = 400_000;
 
-    /** What the peers that know something say: how many hold it for lost, had a sign just now, and that it serves. */
-    record PeerOpinions(int informedPeers, int peersHoldingItDark, int peersWithSign, int peersServedThere) {}
+    /**
+     * How many peers know something current about the hall, and of these how many report it dark, have had a recent sign
+     * of life from it, or have had one and also report it serving.
+     */
+    record PeerOpinions(int informed, int holdingItDark, int withSign, int servedThere) {}
 
     HallRules rules;
     private final DoubleSupplier random;
@@ -58,26 +69,30 @@
     private int trialsSinceDark;
     private int flapCount;
     private long heldUntil;
-    private boolean everListed;
-    /** As of the last turn: listed servers, their weight and slots, those lost, and the weight known to be alive. */
-    private int listedCount;
+    private boolean everActive;
+    /** Totals over the active servers (listed and not draining), as of the last {@link #countServers}. */
+    private int activeCount;
 
     private int lostCount;
     private int faultCount;
     private int drainingCount;
     private boolean hasNonResetFault;
-    private double listedWeight;
+    private double activeWeight;
     private double slotsNotLost;
     private double lostWeight;
+    /** Weight of the servers with a current sign of life. */
     private double aliveWeight;
+
     private double provenWeight;
     private double provenSlots;
     private double provenLostWeight;
     private int provenCount;
     private int firstJobsOut;
+    /** The last sign of life of any of its servers, active or not. */
     private long lastSignAt;
+
     private long lossBeganAt = Long.MIN_VALUE / 2;
-    /** The server that a dark hall's one trial is out at, and since when. */
+    /** The server that holds the one job sent to the dark hall to see whether it serves again; null: none. */
     private HallServer trialServer;
 
     private long trialSentAt;
@@ -88,7 +103,7 @@
         this.random = random;
     }
 
-    /** Slots of the servers that are listed and not taken for lost; while it returns, of those that have served. */
+    /** Slots of active servers that are not lost; while the hall returns, the slots that proven servers may hold. */
     double usableSlots() {
         return state == HallState.RETURNING
                 ? provenSlots
@@ -99,20 +114,20 @@
         return lastSignAt;
     }
 
-    /** Since when the first of what is lost has been; long ago if nothing is. */
+    /** Since when the hall is dark, or its first lost server is lost; the distant past if none is. */
     long lossBeganAt() {
         return state == HallState.DARK ? darkSince : lossBeganAt;
     }
 
-    /** Capacity that speaks for itself: no more than what is listed. */
+    /** Recomputes the totals over the active servers. */
     private void countServers(long now) {
-        listedCount = 0;
+        activeCount = 0;
         lostCount = 0;
         faultCount = 0;
         drainingCount = 0;
         provenCount = 0;
         firstJobsOut = 0;
-        listedWeight = 0;
+        activeWeight = 0;
         slotsNotLost = 0;
         lostWeight = 0;
         aliveWeight = 0;
@@ -129,10 +144,10 @@
                 continue;
             }
             if (server.isLost() && server.onlyResets && now - server.lastFaultAt > SIGN_VALID_MICROS) {
-                server.lostSince = 0; // a reset told of a moment, and that has passed
+                server.lostSince = 0; // a reset is evidence of a moment only
             }
-            listedCount++;
-            listedWeight += server.weight;
+            activeCount++;
+            activeWeight += server.weight;
             if (server.isLost()) {
                 lossBeganAt = Math.min(lossBeganAt, server.lostSince);
                 lostCount++;
@@ -153,27 +168,27 @@
             }
         }
         lossBeganAt = lostCount == 0 ? Long.MIN_VALUE / 2 : lossBeganAt;
-        everListed |= listedCount > 0;
+        everActive |= activeCount > 0;
     }
 
-    /** The lost part of what is known of its capacity. */
+    /** The lost share of the capacity whose condition is known; servers without current evidence are left out. */
     private double lostShare() {
         return lostWeight <= 0 ? 0 : lostWeight / (lostWeight + aliveWeight);
     }
 
-    /** Whether enough servers are in trouble to say anything of the hall. */
+    /** Whether enough servers are lost to judge the whole hall. */
     private boolean hasEnoughEvidence() {
         return lostCount > MAX_IGNORED_LOST_SERVERS
-                || lostCount == listedCount
-                        && listedCount > 0
-                        && (faultCount >= SMALL_HALL_FAULTS_PER_SERVER * listedCount
+                || lostCount == activeCount
+                        && activeCount > 0
+                        && (faultCount >= SMALL_HALL_FAULTS_PER_SERVER * activeCount
                                 || lostCount > 1 && hasNonResetFault);
     }
 
-    /** Moves the state; returns a line for the log if it has changed, else null. */
+    /** Changes the state where the evidence asks for it; returns the line to log, or null. */
     String updateState(long now, PeerOpinions peers) {
         countServers(now);
-        if (!everListed) {
+        if (!everActive) {
             return null;
         }
         return switch (state) {
@@ -186,24 +201,23 @@
     }
 
     private String updateServing(long now, PeerOpinions peers) {
-        if (listedCount == 0) {
+        if (activeCount == 0) {
             return goDark(now, wasDrained() ? DarkReason.PLANNED : DarkReason.UNLISTED);
         }
         if (now - stateSince > rules.flapWindowMicros()) {
             flapCount = 0;
         }
-        boolean toldDark = peers.peersHoldingItDark() > 0
-                && 2 * peers.peersHoldingItDark() >= peers.informedPeers()
-                && peers.peersWithSign() == 0;
+        boolean toldDark =
+                peers.holdingItDark() > 0 && 2 * peers.holdingItDark() >= peers.informed() && peers.withSign() == 0;
         if (hasEnoughEvidence() && lostShare() >= rules.doubtShare()
-                || toldDark && lostCount > 0 && lostShare() >= 0.5) {
+                || toldDark && lostCount > 0 && lostShare() >= PEER_BACKED_DOUBT_LOST_SHARE) {
             return changeState(now, HallState.DOUBTED);
         }
-        // Nothing of our own speaks for it: a fresh scheduler believes the others.
+        // A scheduler that has just started has no evidence of its own and relies on its peers.
         return toldDark && now - lastSignAt > SIGN_VALID_MICROS ? goDark(now, DarkReason.TOLD) : null;
     }
 
-    /** Whether what it had drains, or drained before it went. */
+    /** Whether any of its servers is draining, or was when it left the list. */
     private boolean wasDrained() {
         for (HallServer server : servers) {
             if (server.draining) {
@@ -214,7 +228,7 @@
     }
 
     private String updateDoubted(long now, PeerOpinions peers) {
-        if (listedCount == 0) {
+        if (activeCount == 0) {
             return goDark(now, wasDrained() ? DarkReason.PLANNED : DarkReason.UNLISTED);
         }
         double share = lostShare();
@@ -224,31 +238,31 @@
         boolean certain = hasEnoughEvidence() && hasNonResetFault && share >= IMMEDIATE_DARK_LOST_SHARE;
         boolean lastedLong =
                 hasNonResetFault && now - stateSince >= rules.darkAfterMicros() && share >= rules.doubtShare();
-        return certain || lastedLong
-                ? goDark(now, peers.peersWithSign() > 0 ? DarkReason.CUT_OFF : DarkReason.LOST)
-                : null;
+        return certain || lastedLong ? goDark(now, peers.withSign() > 0 ? DarkReason.CUT_OFF : DarkReason.LOST) : null;
     }
 
     private String updateDark(long now, PeerOpinions peers) {
-        if (listedCount == 0) {
+        if (activeCount == 0) {
             return null;
         }
         if (darkReason == DarkReason.PLANNED || darkReason == DarkReason.UNLISTED) {
-            boolean anyRestarted = false;
+            boolean anyRestartedOrSilent = false;
             for (HallServer server : servers) {
-                anyRestarted |= server.isActive()
+                anyRestartedOrSilent |= server.isActive()
                         && (server.startedAt > darkSince || server.lastSignAt < darkSince - SIGN_VALID_MICROS);
             }
-            // What was only not listed, and kept answering, never was away.
-            return !anyRestarted && lostCount == 0 ? changeState(now, HallState.SERVING) : startReturn(now);
+            // Servers that were only missing from the list and kept answering need no proof.
+            return !anyRestartedOrSilent && lostCount == 0 ? changeState(now, HallState.SERVING) : startReturn(now);
         }
-        if (darkReason == DarkReason.LOST && peers.peersWithSign() > 0) {
-            darkReason = DarkReason.CUT_OFF; // known only now: their word takes its time
+        if (darkReason == DarkReason.LOST && peers.withSign() > 0) {
+            darkReason = DarkReason.CUT_OFF; // peers' reports arrive after the hall went dark
             return String.format(
-                    Locale.ROOT, "hall %s is only cut off from here: others are served there", rules.nameOf(number));
+                    Locale.ROOT,
+                    "hall %s is unreachable from this scheduler only: peers are served there, reason changed to cut off",
+                    rules.nameOf(number));
         }
-        // What was only told is over when nobody says so any more.
-        return lastSignAt > darkSince || darkReason == DarkReason.TOLD && peers.peersHoldingItDark() == 0
+        // A hall that is dark only by peers' reports returns when no peer reports it any more.
+        return lastSignAt > darkSince || darkReason == DarkReason.TOLD && peers.holdingItDark() == 0
                 ? startReturn(now)
                 : null;
     }
@@ -263,7 +277,7 @@
     }
 
     private String updateReturning(long now, PeerOpinions peers) {
-        if (listedCount == 0) {
+        if (activeCount == 0) {
             return goDark(now, wasDrained() ? DarkReason.PLANNED : DarkReason.UNLISTED);
         }
         boolean lostAgain = provenCount > 0
@@ -272,19 +286,19 @@
                                 && lostCount > MAX_IGNORED_LOST_SERVERS
                                 && provenLostWeight > provenWeight / 2);
         if (lostAgain) {
-            return goDark(now, peers.peersWithSign() > 0 ? DarkReason.CUT_OFF : DarkReason.LOST);
+            return goDark(now, peers.withSign() > 0 ? DarkReason.CUT_OFF : DarkReason.LOST);
         }
         if (provenCount == 0
                 && now - stateSince > rules.settleMicros()
                 && hasEnoughEvidence()
                 && lostShare() >= rules.doubtShare()) {
-            return goDark(now, DarkReason.LOST); // the sign that brought it back was the last one
+            return goDark(now, DarkReason.LOST); // no sign of life since the one that started the return
         }
-        boolean peersServed = peers.peersServedThere() > 0
-                && peers.peersHoldingItDark() == 0
-                && lostCount == 0; // we have no work there, others have
+        boolean peersServed = peers.servedThere() > 0
+                && peers.holdingItDark() == 0
+                && lostCount == 0; // without own work there, peers' evidence is enough
         boolean enoughProven =
-                provenCount > 0 && provenWeight - provenLostWeight >= RECOVERED_WEIGHT_SHARE * listedWeight;
+                provenCount > 0 && provenWeight - provenLostWeight >= RECOVERED_WEIGHT_SHARE * activeWeight;
         if (now - stateSince >= rules.settleMicros() && (enoughProven || peersServed && provenCount == 0)) {
             recoveredAt = darkReason == DarkReason.LOST ? now : recoveredAt;
             darkReason = DarkReason.NONE;
@@ -293,10 +307,11 @@
         return null;
     }
 
+    /** Makes the hall dark, or held off if it failed again soon after its return. */
     private String goDark(long now, DarkReason reason) {
-        boolean notAFailure =
+        boolean nothingFailed =
                 reason == DarkReason.PLANNED || reason == DarkReason.UNLISTED || reason == DarkReason.CUT_OFF;
-        boolean flapped = !notAFailure
+        boolean flapped = !nothingFailed
                 && (state == HallState.RETURNING && provenCount > 0 || now - recoveredAt <= rules.flapWindowMicros());
         darkReason = reason;
         darkSince = now;
@@ -311,22 +326,25 @@
         return changeState(now, HallState.DARK);
     }
 
+    /** Starts the return: each server has to prove itself, at a random time so that not all are tried at once. */
     private String startReturn(long now) {
         for (HallServer server : servers) {
             server.restartProof(now, now + (long) (random.getAsDouble() * rules.trialPauseMicros()));
             if (!isFailureSuspected()) {
-                server.allowedSlots =
-                        Math.max(1, server.slots / 2); // it was well all the time; still it is not hit by all at once
+                // Probably healthy all along, but all schedulers come back at the same time.
+                server.allowedSlots = Math.max(1, server.slots / 2);
             }
         }
         return changeState(now, HallState.RETURNING);
     }
 
+    /** The pause before the next trial, which doubles with each trial, with 25 % jitter either way. */
     private long trialPauseMicros() {
         return (long) ((rules.trialPauseMicros() << Math.min(trialsSinceDark, MAX_TRIAL_PAUSE_DOUBLINGS))
                 * (0.75 + random.getAsDouble() / 2));
     }
 
+    /** Sets the state and returns the line to log. */
     private String changeState(long now, HallState to) {
         HallState from = state;
         state = to;
@@ -339,7 +357,7 @@
                 logName(from),
                 darkReason == DarkReason.NONE || to == HallState.SERVING ? "" : ", " + logName(darkReason),
                 lostCount,
-                listedCount,
+                activeCount,
                 lostShare(),
                 flapCount);
     }
@@ -348,12 +366,12 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Whether a job may go to this server now. */
+    /** Whether a job of so many slots may go to this server now. */
     boolean acceptsJob(long now, HallServer server, double jobSlots, boolean repeatable) {
         return switch (state) {
             case SERVING -> true;
             case DOUBTED -> !server.isLost();
-                // One trial at a time; the first ones with what may run twice, if there is such work.
+                // One trial at a time. The first two, probes included, are left to repeatable jobs.
             case DARK -> trialServer == null && now >= nextTrialAt && (repeatable || trialsSinceDark > 1);
             case HELD -> false;
             case RETURNING -> server.proven
@@ -368,12 +386,12 @@
         };
     }
 
-    /** Whether something broke there: not if it was drained, left out of the list, or cut off from here alone. */
+    /** Whether servers may have failed: not if they were drained, unlisted, or cut off only from this scheduler. */
     private boolean isFailureSuspected() {
         return darkReason == DarkReason.LOST || darkReason == DarkReason.TOLD;
     }
 
-    /** No hall is any good: what is left is one job at a time for each server, wherever one may still be. */
+    /** Whether the server may get a job while no hall is in use: one at a time each, to find any that still works. */
     boolean acceptsJobInPanic(HallServer server) {
         return !server.firstJobOut;
     }
@@ -385,7 +403,7 @@
             nextTrialAt = now + trialPauseMicros();
             trialsSinceDark++;
         }
-        // What proved itself in an earlier return has nothing to show for it once the hall is dark again.
+        // Proof from an earlier return does not count once the hall is dark again.
         if (state != HallState.SERVING && !(server.proven && state == HallState.RETURNING) && !server.firstJobOut) {
             server.firstJobOut = true;
             server.firstJobSentAt = now;
@@ -399,7 +417,7 @@
             trialServer = null;
         }
         if (sentAt < server.provingSince) {
-            return; // work of before: it is a sign, but proves nothing of what it can take now
+            return; // sent before the return: a sign of life, but no proof of what the server can take now
         }
         server.heldSlots = Math.max(0, server.heldSlots - jobSlots);
         firstJobsOut = Math.max(0, firstJobsOut - (server.firstJobOut ? 1 : 0));
@@ -412,7 +430,10 @@
         }
     }
 
-    /** Servers to probe: in a doubt those of which nothing is known lately, in the dark those least lately asked. */
+    /**
+     * Adds the servers to probe, least recently probed first: of a doubted hall those without a recent sign of life, of a
+     * returning one those lost and unproven, of a dark one any.
+     */
     void addServersToProbe(long now, List<String> serversToProbe) {
         if (state == HallState.SERVING || state == HallState.HELD || state == HallState.DARK && now < nextTrialAt) {
             return;
--- a/src/main/java/barrowshore/halls/HallMessageCodec.java
+++ b/src/main/java/barrowshore/halls/HallMessageCodec.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * How schedulers tell one another of halls: one datagram of at most 256 bytes, whole figures under a number, so that a
- * lost or overtaken one is put right by the next. It decides nothing and checks all that it reads.
+ * Encodes and checks the datagrams, of at most 256 bytes, by which schedulers report on halls to one another. Each carries
+ * absolute values and a sequence number, so that the next one repairs a lost or reordered one.
  *
- * <p>Form: mark 3, life (2 bytes), number (2), home hall (1; 255: none), count (1); then for each hall its number (1),
- * state (high 4 bits) and 1 if it asks for more (1), tenths of a second
- * since the last sign (1; 255: none),
- * promise (1, 255ths of the even part), slots in use from outside (2, tenths), welcome (1, 255ths).
+ * <p>Layout: type 3 (1 byte), incarnation (2), sequence number (2), home hall (1; 255: none), report count (1); then for
+ * each hall its number (1), state in the high 4 bits and 1 if the sender asks for more slots (1), tenths of a second since
+ * the last sign of life (1; 255: none), promise (1, in 255ths of the even part), slots that the sender's spilled work
+ * holds (2, in tenths), share of the spill limit that the hall accepts (1, in 255ths).
  */
 final class HallMessageCodec {
     private static final int HEADER_BYTES = 7;
     private static final int HALL_REPORT_BYTES = 7;
-    /** Halls in one message; of more, each message tells the next so many. */
+    /** Where there are more halls, successive messages cycle through them. */
     static final int MAX_HALLS_PER_MESSAGE = (256 - HEADER_BYTES) / HALL_REPORT_BYTES;
 
     private static final HallState[] STATES = HallState.values();
 
-    /** What is told of one hall; sign: microseconds since the last sign of it, negative: there was none lately. */
+    /** The sender's report on one hall; a negative sinceSignMicros means no recent sign of life. */
     record HallReport(
             int hall,
             HallState state,
@@ -31,7 +31,7 @@
             double usedSlots,
             double acceptedShare) {}
 
-    /** A whole message. */
+    /** One datagram. The incarnation tells the sender's process from earlier ones; homeHall is -1 for none. */
     record Message(int incarnation, int sequenceNumber, int homeHall, List<HallReport> halls) {}
 
     private HallMessageCodec() {}
@@ -53,7 +53,7 @@
         return out.array();
     }
 
-    /** Reads a message; null if it is none. */
+    /** Decodes a datagram; null if it is malformed or names a hall that does not exist. */
     static Message decode(byte[] bytes, int hallCount) {
         if (bytes.length < HEADER_BYTES || bytes[0] != HallPolicy.MESSAGE_TYPE) {
             return null;
--- a/src/main/java/barrowshore/halls/HallServer.java
+++ b/src/main/java/barrowshore/halls/HallServer.java
@@ -1,17 +1,17 @@
 package barrowshore.halls;
 
 /**
- * What is known of one server as a part of its hall: whether it is listed, what it can do, what of ours is out
- * there, the last sign of it and what speaks against it. It belongs to one {@link HallSettings} and decides nothing.
+ * The state of one server as a member of its hall: listing, capacity, this scheduler's jobs there, and the evidence for
+ * and against it. Owned by one {@link Halls}; callers keep it as a handle.
  */
 public final class HallServer {
-    /** What speaks against a server. */
+    /** Evidence against a server. */
     public enum Fault {
-        /** Refused, or never come up; or a probe without an answer. */
+        /** A connection was refused or never established, or a probe got no answer. */
         UNREACHABLE,
-        /** Attempts are out there whose signs are overdue. */
+        /** Heartbeats of attempts on the server are overdue. */
         SILENT,
-        /** Connections broke. It says that something happened, not that it lasts. */
+        /** Connections broke: evidence of a moment, not of a lasting fault. */
         RESET
     }
 
@@ -19,32 +19,36 @@
     int hall = -1;
     boolean listed;
     boolean draining;
-    /** Slots, and slots times speed: what it weighs in its hall. */
     double slots = 1;
 
+    /** Slots times speed: its share in the evidence about the hall. */
     double weight = 1;
+
     long startedAt;
-    /** Ours that are out. */
+    /** Slots that this scheduler's jobs hold there. */
     double slotsOut;
 
     int jobsOut;
     long lastSignAt = Long.MIN_VALUE / 2;
-    /** Since when it is taken for lost, 0: it is not; the last word against it; how many; whether none was firm. */
+    /** Time of the first fault since the last sign of life; 0: none, so the server is not lost. */
     long lostSince;
 
     long lastFaultAt;
+    /** Faults since the last sign of life, and whether all of them were resets. */
     int faultCount;
+
     boolean onlyResets;
-    /**
-     * In a hall that returns: since when, whether it has served what was sent since, the slots of ours that it may hold
-     * and holds of that, whether a first job is out, and when it may be tried next.
-     */
+    /** When the server last had to prove itself anew; jobs sent before that prove nothing. */
     long provingSince;
-
+    /** Whether it has served a job sent since then, while its hall was returning. */
     boolean proven;
+    /** Slots that this scheduler's jobs may hold, and hold, while the hall returns. */
     double allowedSlots = 1;
+
     double heldSlots;
+    /** Whether the one job that an unproven server may hold is out, when it was sent, and when the next may be. */
     boolean firstJobOut;
+
     long firstJobSentAt;
     long nextFirstJobAt;
     long lastProbeAt = Long.MIN_VALUE / 2;
@@ -58,15 +62,17 @@
         return id;
     }
 
+    /** Whether it is listed and not draining. */
     boolean isActive() {
         return listed && !draining;
     }
 
+    /** Whether there was a fault since the last sign of life. */
     boolean isLost() {
         return lostSince != 0;
     }
 
-    /** A hall's return begins: nothing is proved yet, and one job at a time finds out. */
+    /** Makes the server unproven: it gets one job at a time, not before the given time. */
     void restartProof(long now, long firstJobAt) {
         provingSince = now;
         proven = false;
--- a/src/main/java/barrowshore/halls/HallState.java
+++ b/src/main/java/barrowshore/halls/HallState.java
@@ -1,15 +1,15 @@
 package barrowshore.halls;
 
-/** Where a hall stands with one scheduler. */
+/** What one scheduler takes a hall's condition to be. Names and order are part of log lines, reports and datagrams. */
 public enum HallState {
-    /** In use; foreign work is welcome within the spill limit. */
+    /** In use; work from other halls is accepted within the spill limit. */
     SERVING,
-    /** Much of it gives no sign: what is not itself in doubt is still used, foreign work is not sent. */
+    /** A large part is lost: servers that are not lost are still used, work from other halls is not sent. */
     DOUBTED,
-    /** Not in use but for trials. */
+    /** Not in use except for trial jobs and probes. */
     DARK,
-    /** Coming back: each server proves itself, and takes more as it serves. */
+    /** Answering again: each server has to prove itself, and may hold more as it serves. */
     RETURNING,
-    /** Dark again too soon after a return: left alone for a time. */
+    /** Dark again too soon after a return (flapping): held off without trials for a time. */
     HELD
 }
--- a/src/main/java/barrowshore/halls/Halls.java
+++ b/src/main/java/barrowshore/halls/Halls.java
@@ -8,34 +8,37 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The decisions about halls of one scheduler: which halls a request may go to, at whose expense, and what may be tried
- * again when a hall's requests end all at once. It owns the halls' state machines, this scheduler's parts of what foreign
- * halls lend, and what peers have told of both. Pure: time and randomness are handed in. It must never choose a server,
- * and never let work from other halls over its part of a hall.
+ * One scheduler's policy on halls: which halls a request may go to and at what price, how much work spills into foreign
+ * halls, and which requests may be retried when a whole hall fails. Owns the halls' failure detectors, this scheduler's
+ * spill shares and its peers' last reports. Time and randomness are passed in. It never chooses a server, and never lets
+ * spilled work exceed this scheduler's share of a hall.
  */
 public final class Halls implements HallPolicy {
-    /** A peer's word counts for so long. */
+    /** How long a peer's report counts; also, repeated silence within it is one fault. */
     private static final long REPORT_VALID_MICROS = 1_500_000;
-    /** A sign that a peer had this long ago says that the hall serves. */
+    /** A sign of life that a peer had no longer ago than this shows that peers are served in the hall. */
     private static final long PEER_SIGN_VALID_MICROS = 1_000_000;
-    /** For so long requests are weighed by the same parts; the lenders' wait allows for it. */
+    /** A sign of life longer ago than this is reported as none. */
+    private static final long MAX_REPORTED_SIGN_AGE_MICROS = 60_000_000;
+    /** How long computed spill limits are reused; {@link SpillShare#PROMISE_BINDING_MICROS} allows for it. */
     private static final long LIMIT_CACHE_MICROS = 100_000;
-    /** Turns come every tenth of a second or so; after so long a gap we were not there ourselves. */
+    /** Updates come about every 100 ms; after a gap this long the process was paused, and ignores evidence as long. */
     private static final long OWN_PAUSE_MICROS = 500_000;
-    /** Share of its part that work of no worth may fill; the rest is kept for what is worth more. */
+    /** Share of the spill limit that requests of worth 0 may fill; the rest is reserved for higher worth. */
     private static final double ZERO_WORTH_LIMIT_SHARE = 0.7;
-    /** A wait of this share of the wanted time says that our own hall's diners are crowded. */
+    /** An expected wait above this share of the target time shows that the home hall is crowded. */
     private static final double CROWDED_WAIT_SHARE = 0.5;
-    /** What is turned down and worth less than this would be so in many an hour; it says nothing. */
+    /** A refused request of at least this worth shows crowding; those of lower worth are often refused anyway. */
     private static final double CROWDED_REFUSED_WORTH = 0.5;
-    /** How a crowded hall's welcome falls in a turn, and how it rises again. */
+    /** Applied to the share of spill that the home hall accepts, at each update while it is crowded. */
     private static final double ACCEPTED_SHARE_DECREASE_FACTOR = 0.95;
 
+    /** Added to that share at each update while it is not crowded. */
     private static final double ACCEPTED_SHARE_INCREASE = 0.03;
-    /** Tries that a request of no worth must leave in the budget for those worth more. */
+    /** Share of retryBurst that a request of worth 0 must leave to retries of higher worth. */
     private static final double RESERVED_RETRY_BURST_SHARE = 0.6;
 
-    /** What another scheduler told last. */
+    /** Another scheduler's last report; the arrays are by hall. */
     private static final class Peer {
         int incarnation = -1;
         int lastSequenceNumber;
@@ -62,7 +65,7 @@
     private final Peer[] peers;
     private final Map<String, HallServer> serversById = new HashMap<>();
     private final List<String> serversToProbe = new ArrayList<>();
-    /** Of the request weighed last: its size, whether it may run twice, the time, and what each hall costs it. */
+    /** The result of the last {@link #priceHalls}, and the request that it was called for. */
     private final double[] prices;
 
     private double requestSlots;
@@ -71,12 +74,12 @@
     private double retryTokens;
     private double ownAcceptedShare = 1;
     private boolean homeCrowded;
-    /** Whether no hall is in use, so that evidence against halls helps nobody. */
+    /** Panic mode: no hall is in use, so the evidence against halls is overridden. */
     private boolean panic;
 
     private long lastUpdateAt;
     private long ignoreEvidenceUntil;
-    /** Worked out for many requests at once, and when: our parts, the halls' tiers, how many crossings each is away. */
+    /** Cached by hall for {@link #LIMIT_CACHE_MICROS}: the spill limit, the tier, and the multiple of the crossing price. */
     private final double[] spillLimits;
 
     private final int[] tiersByHall;
@@ -85,7 +88,7 @@
     private int lastSequenceNumber;
     private int nextHallToReport;
 
-    /** The halls of scheduler number {@code me} of so many; random: uniform in [0, 1). */
+    /** For scheduler {@code ownIndex} (from 0) of {@code schedulers}; random is uniform in [0, 1). */
     public Halls(HallRules rules, int schedulers, int ownIndex, DoubleSupplier random) {
         this.rules = rules;
         this.ownIndex = ownIndex;
@@ -117,7 +120,7 @@
         return true;
     }
 
-    // What there is, and what speaks for and against it.
+    // The servers, and the evidence for and against them.
 
     @Override
     public HallServer serverFor(String serverId) {
@@ -170,7 +173,7 @@
             server.onlyResets = true;
         }
         server.onlyResets &= !lasting;
-        // Silence goes on and on; a dial that fails, or a probe, is a word each time.
+        // Silence is reported again and again; each failed connection or probe is a fault of its own.
         server.faultCount += fault == HallServer.Fault.SILENT
                         && server.faultCount > 0
                         && now - server.lastFaultAt < REPORT_VALID_MICROS
@@ -189,7 +192,7 @@
     }
 
     @Override
-    public void recordSent(long now, HallServer server, double slots, double wait) {
+    public void recordSent(long now, HallServer server, double slots, double waitShare) {
         server.slotsOut += slots;
         server.jobsOut++;
         if (server.hall != rules.home()) {
@@ -197,7 +200,7 @@
         }
         halls[server.hall].recordSent(now, server, slots);
         retryTokens = Math.min(rules.retryBurst(), retryTokens + rules.retryShare());
-        homeCrowded |= server.hall == rules.home() && wait > CROWDED_WAIT_SHARE;
+        homeCrowded |= server.hall == rules.home() && waitShare > CROWDED_WAIT_SHARE;
     }
 
     @Override
@@ -232,7 +235,7 @@
             boolean withinTier = !rules.strict() || tiersByHall[h] <= tier;
             boolean open = withinTier && (h == rules.home() || acceptsSpill(now, h, slots, worth));
             HallState state = halls[h].state;
-            // A trial pays nothing: from far away it would never be the cheapest, and nobody would find out.
+            // A trial is free: priced by distance it would never be the cheapest, and no scheduler would make it.
             prices[h] = panic
                     ? -1 - crossingsByHall[h]
                     : !open
@@ -244,7 +247,7 @@
         return prices;
     }
 
-    /** Works out anew what many requests are weighed by. */
+    /** Recomputes the cached limits, tiers and crossings. */
     private void refreshLimits(long now) {
         limitsCachedAt = now;
         for (int h = 0; h < halls.length; h++) {
@@ -259,11 +262,11 @@
         return rules.hallOfZone(zone);
     }
 
-    /** Whether the request fits into our part of a foreign hall; the last of it is kept for what is worth most. */
+    /** Whether the request fits into the spill limit of a foreign hall; the last of it is reserved for high worth. */
     private boolean acceptsSpill(long now, int hall, double slots, double worth) {
         HallState state = halls[hall].state;
         if (state == HallState.DARK) {
-            return true; // a trial, one at a time; whoever serves its diners will not have to find out alone
+            return true; // the hall limits trials itself; the hall's own schedulers need not find out alone
         }
         if (state != HallState.SERVING || rules.spillShare() == 0 || halls[hall].servers.isEmpty()) {
             return false;
@@ -278,14 +281,14 @@
                 || spillShares[hall].usedSlots() == 0;
     }
 
-    /** Slots that our work may hold in a foreign hall now. */
+    /** Slots that this scheduler's spilled work may hold in a foreign hall now. */
     double spillLimit(long now, int hall) {
-        int spillers = spillingSchedulers(hall);
+        int spillingSchedulers = spillingSchedulers(hall);
         double totalSpillSlots = rules.spillShare() * halls[hall].usableSlots() * acceptedShare(now, hall);
-        return spillShares[hall].slotLimit(now, totalSpillSlots / spillers, spillers);
+        return spillShares[hall].slotLimit(now, totalSpillSlots / spillingSchedulers, spillingSchedulers);
     }
 
-    /** Schedulers that are not known to have this hall for their home: each may send work from outside. */
+    /** How many schedulers may spill into the hall: all those that are not known to have it as their home. */
     private int spillingSchedulers(int hall) {
         int count = hall == rules.home() ? 0 : 1;
         for (int j = 0; j < peers.length; j++) {
@@ -294,7 +297,7 @@
         return Math.max(1, count);
     }
 
-    /** How much of what the rules allow its own schedulers say that it can bear. */
+    /** The share of the configured spill that the hall accepts, by the lowest report of its home schedulers. */
     private double acceptedShare(long now, int hall) {
         double lowestShare = 1;
         for (int j = 0; j < peers.length; j++) {
@@ -331,7 +334,7 @@
     @Override
     public boolean mayRetry(long now, HallServer server, double worth) {
         if (halls[server.hall].state == HallState.SERVING) {
-            return true; // one server's trouble: the module's own budget will do
+            return true; // at most single servers failed there: the dispatcher's own retry budget applies
         }
         double reservedTokens = RESERVED_RETRY_BURST_SHARE * rules.retryBurst() * (1 - Math.min(1, worth));
         if (retryTokens < 1 + reservedTokens && retryTokens < rules.retryBurst()) {
@@ -341,15 +344,15 @@
         return true;
     }
 
-    // As time goes.
+    // Periodic updates, and the exchange with peers.
 
     @Override
     public List<String> updateStates(long now, boolean mayProbe) {
         List<String> logLines = List.of();
         serversToProbe.clear();
-        // Guards against our own pauses: after one everything looks silent, and only the next words count.
-        boolean paused = now - lastUpdateAt > OWN_PAUSE_MICROS && lastUpdateAt > 0;
-        ignoreEvidenceUntil = paused ? now + OWN_PAUSE_MICROS : ignoreEvidenceUntil;
+        // After a pause of this process all servers look silent: evidence is ignored until new evidence has come in.
+        boolean wasPaused = now - lastUpdateAt > OWN_PAUSE_MICROS && lastUpdateAt > 0;
+        ignoreEvidenceUntil = wasPaused ? now + OWN_PAUSE_MICROS : ignoreEvidenceUntil;
         lastUpdateAt = now;
         if (now < ignoreEvidenceUntil) {
             return logLines;
@@ -379,12 +382,15 @@
         return logLines;
     }
 
-    /** Whether our own hall can bear guests, as far as we know; that only we are cut off from it says nothing. */
+    /** Whether the home hall serves, so that it can take foreign work; one cut off only from this scheduler does. */
     private boolean isHomeHallServing() {
-        Hall home = rules.home() < 0 ? null : halls[rules.home()];
-        return home == null || home.state == HallState.SERVING || home.darkReason == Hall.DarkReason.CUT_OFF;
+        Hall homeHall = rules.home() < 0 ? null : halls[rules.home()];
+        return homeHall == null
+                || homeHall.state == HallState.SERVING
+                || homeHall.darkReason == Hall.DarkReason.CUT_OFF;
     }
 
+    /** Summarizes the peers' current reports on the hall. */
     private Hall.PeerOpinions peerOpinions(long now, int hall) {
         int informed = 0, holdingItDark = 0, withSign = 0, servedThere = 0;
         for (int j = 0; j < peers.length; j++) {
@@ -392,14 +398,14 @@
             if (j == ownIndex || now - peer.lastHeardAt > REPORT_VALID_MICROS || peer.states[hall] == null) {
                 continue;
             }
-            boolean dark = peer.states[hall] == HallState.DARK || peer.states[hall] == HallState.HELD;
-            // What was before our own trouble with it says nothing of who is cut off.
-            boolean sign = now - peer.lastSignAt[hall] <= PEER_SIGN_VALID_MICROS
+            boolean holdsItDark = peer.states[hall] == HallState.DARK || peer.states[hall] == HallState.HELD;
+            // Signs of life from before this scheduler's own loss don't show that only this scheduler is cut off.
+            boolean hasSign = now - peer.lastSignAt[hall] <= PEER_SIGN_VALID_MICROS
                     && peer.lastSignAt[hall] > halls[hall].lossBeganAt();
-            informed += dark || sign ? 1 : 0; // who had nothing to do there knows nothing
-            holdingItDark += dark ? 1 : 0;
-            withSign += sign ? 1 : 0;
-            servedThere += sign && peer.states[hall] == HallState.SERVING ? 1 : 0;
+            informed += holdsItDark || hasSign ? 1 : 0; // a peer without recent work there knows nothing
+            holdingItDark += holdsItDark ? 1 : 0;
+            withSign += hasSign ? 1 : 0;
+            servedThere += hasSign && peer.states[hall] == HallState.SERVING ? 1 : 0;
         }
         return new Hall.PeerOpinions(informed, holdingItDark, withSign, servedThere);
     }
@@ -422,18 +428,18 @@
             boolean foreign = h != rules.home();
             double evenPart = rules.spillShare() * halls[h].usableSlots() / spillingSchedulers(h);
             long sinceSign = now - halls[h].lastSignAt();
-            // Only first-hand: what was merely told must not come back to its teller as a second voice.
+            // First-hand evidence only: a peer's own report must not come back to it as a second opinion.
             HallState state = halls[h].darkReason == Hall.DarkReason.TOLD ? HallState.SERVING : halls[h].state;
             reports.add(new HallMessageCodec.HallReport(
                     h,
                     state,
                     foreign && share.asksForMore(now),
-                    sinceSign > 60_000_000 ? -1 : sinceSign,
+                    sinceSign > MAX_REPORTED_SIGN_AGE_MICROS ? -1 : sinceSign,
                     foreign ? share.nextPromise255ths(now, evenPart, homeServing) : SpillShare.FULL_PART_255THS,
                     foreign ? share.usedSlots() : 0,
                     foreign ? 1 : ownAcceptedShare));
         }
-        limitsCachedAt = Long.MIN_VALUE / 2; // what was told binds from here on
+        limitsCachedAt = Long.MIN_VALUE / 2; // the promises just made bind at once
         nextHallToReport = (nextHallToReport + HallMessageCodec.MAX_HALLS_PER_MESSAGE) % Math.max(1, halls.length);
         if (halls.length <= HallMessageCodec.MAX_HALLS_PER_MESSAGE) {
             nextHallToReport = 0;
--- a/src/main/java/barrowshore/halls/SpillShare.java
+++ b/src/main/java/barrowshore/halls/SpillShare.java
@@ -3,32 +3,35 @@
 import java.util.Arrays;
 
 /**
- * One scheduler's part of what a foreign hall lends to all others, without a central counter. Each has an even part.
- * One whose own hall serves and that needs little lends, when another asks: it promises to keep to less, and each of
- * the others may use an even part of what it gave up. A promise counts for {@link #PROMISE_VALID_MICROS} after it is
- * heard, and is kept for {@link #PROMISE_BINDING_MICROS} after it was last told, so that no loss, delay (up to 0.9 s: a
- * part once worked out is used for a tenth) or overtaking of messages lets the sum of all parts exceed the whole. It
- * decides nothing on requests.
+ * One scheduler's part of the slots that a foreign hall offers to spilled work, shared without a central counter. Owned by
+ * {@link Halls}, one for each hall. Every scheduler has an even part. One whose home hall serves and that needs little
+ * lends when another asks: it promises to keep to less, and each of the others may use an even part of the difference.
  *
- * <p>Why the sum holds: who lends does not borrow. With F schedulers of even part e, a lender j keeps to r_j, and the
- * others get (e - r_j) / (F - 1) each, e - r_j at most in all; so all together stay within F e. What is out when a loan
- * ends runs on; so after a loan the lender waits for what the others tell that they still use.
+ * <p>A promise counts for {@link #PROMISE_VALID_MICROS} after it is received and binds its sender for
+ * {@link #PROMISE_BINDING_MICROS} after it was last sent. The difference covers loss, reordering and delays of up to 0.9 s
+ * (receivers cache a limit for 0.1 s), so that the sum of all limits never exceeds the total.
+ *
+ * <p>Why the sum holds: a lender does not borrow. With F schedulers of even part e, lender j keeps to r_j and the others
+ * get (e - r_j) / (F - 1) each, at most e - r_j together, so that all stay within F e. Borrowers' jobs outlive a loan, so
+ * after it a lender's limit allows for the slots that the others report as still used.
  */
 final class SpillShare {
-    /** How long a promise counts after it was heard, and how long it is kept after it was told. */
+    /** How long a received promise, or a request for more, counts. */
     static final long PROMISE_VALID_MICROS = 1_000_000;
 
+    /** How long a promise binds its sender. */
     static final long PROMISE_BINDING_MICROS = 2_000_000;
-    /** The least that a lender keeps, as a share of the even part; its need is met with twice its height to spare. */
+    /** The least that a lender keeps, as a share of its even part. */
     private static final double MIN_KEPT_SHARE = 0.25;
 
+    /** A lender keeps this multiple of its recent need. */
     private static final double NEED_HEADROOM_FACTOR = 2;
-    /** Half-life of the memory of a need. */
+    /** The recent need decays by half in this time. */
     private static final double NEED_HALF_LIFE_MICROS = 2e6;
-    /** Promises go as whole 255ths of the even part; this is all of it. */
+    /** Promises are sent in 255ths of the even part; this is all of it, a promise that lends nothing. */
     static final int FULL_PART_255THS = 255;
 
-    /** What another scheduler told last: what it keeps to, what it uses in all, whether it asks for more. */
+    /** Another scheduler's last report: the part it keeps to, the slots it uses, whether it asks for more. */
     private static final class PeerReport {
         int promise255ths = FULL_PART_255THS;
         double usedSlots;
@@ -41,7 +44,7 @@
     private double usedSlots;
     private double neededSlots;
     private long neededAt;
-    /** The lowest of our promises that still binds us, when it was last told, and whether we have lent at all. */
+    /** The lowest own promise that is still binding, and when it was last sent. */
     private int bindingPromise255ths = FULL_PART_255THS;
 
     private long bindingPromiseAt = Long.MIN_VALUE / 2;
@@ -63,15 +66,15 @@
         recordNeed(now, usedSlots);
     }
 
-    /** A request would need so much in all. */
+    /** Raises the decaying recent need to this total of slots. */
     private void recordNeed(long now, double slots) {
         neededSlots = Math.max(slots, neededSlots * Math.pow(0.5, Math.max(0, now - neededAt) / NEED_HALF_LIFE_MICROS));
         neededAt = now;
     }
 
-    /** A request found our part too small. */
-    void askForMore(long now, double slots) {
-        recordNeed(now, slots);
+    /** Asks the others for a loan: a request would need this total of slots, more than the limit. */
+    void askForMore(long now, double neededSlots) {
+        recordNeed(now, neededSlots);
         lastAskedAt = now;
     }
 
@@ -83,26 +86,26 @@
         return now - bindingPromiseAt <= PROMISE_BINDING_MICROS;
     }
 
-    /** Slots that may be out, for an even part of so many and so many schedulers that share the whole. */
-    double slotLimit(long now, double evenPart, int spillers) {
+    /** Slots that this scheduler's jobs may hold now, where so many spilling schedulers have the given even part each. */
+    double slotLimit(long now, double evenPart, int spillingSchedulers) {
         if (isLending(now)) {
             return evenPart * bindingPromise255ths / FULL_PART_255THS;
         }
         double borrowed = 0;
-        double unusedByPeers = evenPart * spillers;
+        double unusedByPeers = evenPart * spillingSchedulers;
         for (int j = 0; j < peerReports.length; j++) {
             if (j != ownIndex && now - peerReports[j].lastHeardAt <= PROMISE_VALID_MICROS) {
                 borrowed += evenPart
                         * (FULL_PART_255THS - peerReports[j].promise255ths)
                         / FULL_PART_255THS
-                        / Math.max(1, spillers - 1);
+                        / Math.max(1, spillingSchedulers - 1);
                 unusedByPeers -= peerReports[j].usedSlots;
             }
         }
         return Math.min(evenPart, everLent ? Math.max(0, unusedByPeers) : evenPart) + borrowed;
     }
 
-    /** What we tell that we keep to, in 255ths of our even part; from here on it binds us. */
+    /** The promise to send now, in 255ths of the even part; it binds this scheduler from here on. */
     int nextPromise255ths(long now, double evenPart, boolean mayLend) {
         recordNeed(now, usedSlots);
         boolean asked = false;
@@ -116,8 +119,7 @@
                 : Math.max(MIN_KEPT_SHARE, NEED_HEADROOM_FACTOR * neededSlots / evenPart);
         int promise = Math.min(FULL_PART_255THS, (int) Math.ceil(keptShare * FULL_PART_255THS));
         if (promise == FULL_PART_255THS || isLending(now) && promise > bindingPromise255ths) {
-            return FULL_PART_255THS; // never a promise between: when the lower one has run out, nothing may bind any
-            // more
+            return FULL_PART_255THS; // no promise above a binding lower one: none may outlive the lower one
         }
         bindingPromise255ths = promise;
         bindingPromiseAt = now;
@@ -125,6 +127,7 @@
         return promise;
     }
 
+    /** Takes in another scheduler's report. */
     void recordPeerReport(long now, int from, int promise255ths, double usedSlots, boolean asksForMore) {
         PeerReport report = peerReports[from];
         report.promise255ths = promise255ths;
--- a/src/test/java/barrowshore/halls/HallsPropertyTest.java
+++ b/src/test/java/barrowshore/halls/HallsPropertyTest.java
@@ -11,15 +11,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** What must hold of the decisions about halls in any history: random evidence, messages lost, late and out of order. */
+/** Invariants of {@link Halls} and {@link SpillShare} under random evidence, with messages lost, late and reordered. */
 class HallsPropertyTest {
-    private static final long MS = 1_000, SECOND = 1_000_000;
-    private static final List<String> NAMES = List.of("a", "b", "c");
+    private static final long MILLISECOND = 1_000, SECOND = 1_000_000;
+    private static final List<String> HALL_NAMES = List.of("a", "b", "c");
 
-    /** A message on its way. */
+    /** A message that is delivered at a later time. */
     private record DelayedMessage(long arrivesAt, int from, int to, byte[] bytes) {}
 
-    /** Schedulers of all halls and servers of three, played by one source of chance. */
+    /** Schedulers spread over three halls of servers, all driven by one seeded source of randomness. */
     private static final class Simulation {
         final Random random;
         final List<Halls> schedulers = new ArrayList<>();
@@ -34,10 +34,10 @@
             random = new Random(seed);
             this.serversPerHall = serversPerHall;
             for (int s = 0; s < schedulerCount; s++) {
-                int home = s % NAMES.size();
-                HallRules defaults = HallRules.defaults(NAMES, home);
+                int home = s % HALL_NAMES.size();
+                HallRules defaults = HallRules.defaults(HALL_NAMES, home);
                 HallRules rules = new HallRules(
-                        NAMES,
+                        HALL_NAMES,
                         home,
                         defaults.tiersByHall(),
                         false,
@@ -53,7 +53,7 @@
                         10);
                 Halls halls = new Halls(rules, schedulerCount, s, random::nextDouble);
                 List<HallServer> knownServers = new ArrayList<>();
-                for (int h = 0; h < NAMES.size(); h++) {
+                for (int h = 0; h < HALL_NAMES.size(); h++) {
                     for (int k = 0; k < serversPerHall; k++) {
                         HallServer server = halls.serverFor("s" + h + "-" + k);
                         halls.updateListing(now, server, h, true, false, 0);
@@ -69,7 +69,7 @@
             }
         }
 
-        /** Whether a scheduler may send a job there now. */
+        /** Whether the scheduler may send a job to the server now. */
         boolean mayUse(int scheduler, HallServer server) {
             double price = schedulers.get(scheduler).priceHalls(now, 1, 1, true, 0)[server.hall];
             return price >= 0
@@ -77,9 +77,9 @@
                     : schedulers.get(scheduler).mayUse(server);
         }
 
-        /** One step of time: mail, evidence by who is well, turns, jobs. */
+        /** Advances by 80 ms: delivers messages, records evidence, updates the states, probes and sends messages. */
         void step(boolean[] hallAnswers, double lossRate) {
-            now += 80 * MS;
+            now += 80 * MILLISECOND;
             for (DelayedMessage message : List.copyOf(messagesOnTheWay)) {
                 if (message.arrivesAt <= now) {
                     messagesOnTheWay.remove(message);
@@ -112,7 +112,7 @@
                                     now
                                             + random.nextInt((int) (SpillShare.PROMISE_BINDING_MICROS
                                                     - SpillShare.PROMISE_VALID_MICROS
-                                                    - 200 * MS)),
+                                                    - 200 * MILLISECOND)),
                                     s,
                                     to,
                                     bytes));
@@ -123,18 +123,19 @@
         }
     }
 
-    /** The parts of all schedulers in one hall, added up, stay within what the rules allow. */
+    /** The spill limits of all schedulers in one hall add up to no more than the configured share of its slots. */
     @Property(tries = 60, seed = "20261201")
-    void theSumOfAllSpillLimitsStaysWithinTheRules(@ForAll long seed, @ForAll @IntRange(min = 2, max = 9) int count) {
-        Simulation simulation = new Simulation(seed, count, 4, 0.6);
+    void theSumOfAllSpillLimitsStaysWithinTheRules(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 9) int schedulerCount) {
+        Simulation simulation = new Simulation(seed, schedulerCount, 4, 0.6);
         boolean[] hallAnswers = {true, true, true};
         for (int k = 0; k < 400; k++) {
             if (simulation.random.nextInt(60) == 0) {
                 hallAnswers[simulation.random.nextInt(3)] ^= true;
             }
             simulation.step(hallAnswers, 0.3);
-            for (int s = 0; s < count; s++) {
-                // Some need much, some little: that is what makes them lend and borrow.
+            for (int s = 0; s < schedulerCount; s++) {
+                // Only every second scheduler has jobs to spill, so that some lend and some borrow.
                 Halls halls = simulation.schedulers.get(s);
                 int h = (simulation.homes.get(s) + 1 + simulation.random.nextInt(2)) % 3;
                 HallServer server = simulation.serversByScheduler.get(s).get(h * 4 + simulation.random.nextInt(4));
@@ -156,7 +157,7 @@
             }
             for (int h = 0; h < 3; h++) {
                 double limitSum = 0;
-                for (int s = 0; s < count; s++) {
+                for (int s = 0; s < schedulerCount; s++) {
                     limitSum += simulation.homes.get(s) == h
                             ? 0
                             : simulation.schedulers.get(s).spillLimit(simulation.now, h);
@@ -166,17 +167,18 @@
         }
     }
 
-    /** Lenders and borrowers of one hall, with needs that come and go: the sum holds, and loans do happen. */
+    /** With needs that come and go, the limits in one hall stay within the total, and some schedulers do borrow. */
     @Property(tries = 100, seed = "20261201")
-    void loansNeverLetTheSumOfLimitsExceedTheTotal(@ForAll long seed, @ForAll @IntRange(min = 2, max = 6) int count) {
+    void loansNeverLetTheSumOfLimitsExceedTheTotal(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 6) int schedulerCount) {
         Random random = new Random(seed);
-        SpillShare[] shares = new SpillShare[count];
-        java.util.Arrays.setAll(shares, s -> new SpillShare(count, s));
-        double totalSlots = 12, evenPart = totalSlots / count, mostBorrowed = 0;
+        SpillShare[] shares = new SpillShare[schedulerCount];
+        java.util.Arrays.setAll(shares, s -> new SpillShare(schedulerCount, s));
+        double totalSlots = 12, evenPart = totalSlots / schedulerCount, mostBorrowed = 0;
         List<Runnable> deliveries = new ArrayList<>();
         List<Long> deliveryTimes = new ArrayList<>();
-        boolean[] busy = new boolean[count];
-        for (long now = 1000 * SECOND; now < 1040 * SECOND; now += 20 * MS) {
+        boolean[] busy = new boolean[schedulerCount];
+        for (long now = 1000 * SECOND; now < 1040 * SECOND; now += 20 * MILLISECOND) {
             for (int k = deliveries.size() - 1; k >= 0; k--) {
                 if (deliveryTimes.get(k) <= now) {
                     deliveryTimes.remove(k);
@@ -184,10 +186,10 @@
                 }
             }
             double sum = 0;
-            for (int s = 0; s < count; s++) {
+            for (int s = 0; s < schedulerCount; s++) {
                 SpillShare share = shares[s];
                 busy[s] ^= random.nextInt(150) == 0;
-                double limit = share.slotLimit(now, evenPart, count);
+                double limit = share.slotLimit(now, evenPart, schedulerCount);
                 if (s == 0 || busy[s]) {
                     if (share.usedSlots() + 1 <= limit) {
                         share.addUsedSlots(now, 1);
@@ -201,16 +203,17 @@
                     int promise = share.nextPromise255ths(now, evenPart, random.nextInt(10) > 0), from = s;
                     double used = share.usedSlots();
                     boolean asks = share.asksForMore(now);
-                    for (int to = 0; to < count; to++) {
-                        long at = now + random.nextInt((int) (850 * MS));
+                    for (int to = 0; to < schedulerCount; to++) {
+                        long at = now + random.nextInt((int) (850 * MILLISECOND));
                         SpillShare other = shares[to];
                         if (to != s && random.nextDouble() < 0.7) {
                             deliveryTimes.add(at);
-                            deliveries.add(() -> other.recordPeerReport(at + 20 * MS, from, promise, used, asks));
+                            deliveries.add(
+                                    () -> other.recordPeerReport(at + 20 * MILLISECOND, from, promise, used, asks));
                         }
                     }
                 }
-                double limitAfter = share.slotLimit(now, evenPart, count);
+                double limitAfter = share.slotLimit(now, evenPart, schedulerCount);
                 sum += limitAfter;
                 mostBorrowed = Math.max(mostBorrowed, limitAfter - evenPart);
             }
@@ -219,11 +222,11 @@
         assertThat(mostBorrowed).isGreaterThan(0);
     }
 
-    /** However a hall flapped before: once it is well for good, each scheduler uses it again. */
+    /** Once a hall answers for good, its schedulers use it again, however it flapped before. */
     @Property(tries = 60, seed = "20261201")
     void aHallThatAnswersIsUsedAgainHoweverItFlapped(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int servers) {
-        Simulation simulation = new Simulation(seed, 3, servers, 0.6);
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int serversPerHall) {
+        Simulation simulation = new Simulation(seed, 3, serversPerHall, 0.6);
         boolean[] hallAnswers = {true, true, true};
         for (int k = 0; k < 500; k++) {
             if (simulation.random.nextInt(25) == 0) {
@@ -237,8 +240,8 @@
             for (int s = 0; s < 3; s++) {
                 Halls halls = simulation.schedulers.get(s);
                 int home = simulation.homes.get(s);
-                for (int n = 0; n < servers; n++) {
-                    HallServer server = simulation.serversByScheduler.get(s).get(home * servers + n);
+                for (int n = 0; n < serversPerHall; n++) {
+                    HallServer server = simulation.serversByScheduler.get(s).get(home * serversPerHall + n);
                     if (simulation.mayUse(s, server)) {
                         halls.recordSent(simulation.now, server, 1, 0);
                         halls.recordEnd(simulation.now, server, simulation.now, 1, true);
@@ -252,7 +255,7 @@
         }
     }
 
-    /** While a hall returns, an unproved server never holds more than one job of a scheduler. */
+    /** While a hall returns, an unproven server never holds more than one job of a scheduler. */
     @Property(tries = 60, seed = "20261201")
     void anUnprovenServerHoldsOneJob(@ForAll long seed) {
         Simulation simulation = new Simulation(seed, 1, 6, 0.6);
@@ -291,10 +294,10 @@
         }
     }
 
-    /** Any bytes: never an exception, never taken for something else. */
+    /** Any datagram is received without an exception, and claimed exactly if its first byte is the halls' type. */
     @Property(tries = 500, seed = "20261201")
     void anyBytesAreHandledWithoutAnException(@ForAll byte[] bytes) {
-        Halls halls = new Halls(HallRules.defaults(NAMES, 0), 3, 0, new Random(1)::nextDouble);
+        Halls halls = new Halls(HallRules.defaults(HALL_NAMES, 0), 3, 0, new Random(1)::nextDouble);
         assertThat(halls.receive(SECOND, 1, bytes)).isEqualTo(bytes.length > 0 && bytes[0] == HallPolicy.MESSAGE_TYPE);
         if (bytes.length > 0) {
             bytes[0] = HallPolicy.MESSAGE_TYPE;
--- a/src/test/java/barrowshore/halls/HallsTest.java
+++ b/src/test/java/barrowshore/halls/HallsTest.java
@@ -7,12 +7,12 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The decisions about halls, each hard case by itself: evidence in, states and gates out, on time that is handed in. */
+/** Tests hall states, prices and limits case by case, from evidence and times that the test passes in. */
 class HallsTest {
-    private static final long MS = 1_000, SECOND = 1_000_000, UPDATE_INTERVAL = 80 * MS;
-    private static final List<String> NAMES = List.of("a", "b");
+    private static final long MILLISECOND = 1_000, SECOND = 1_000_000, UPDATE_INTERVAL = 80 * MILLISECOND;
+    private static final List<String> HALL_NAMES = List.of("a", "b");
 
-    /** One scheduler of hall a, and servers a0.. and b0.. that answer or do not. */
+    /** One scheduler, by default of hall a, that knows the servers a0, a1, ... of hall a and b0, b1, ... of hall b. */
     private static final class Fixture {
         final Halls halls;
         final List<HallServer> serversInA = new ArrayList<>(), serversInB = new ArrayList<>();
@@ -20,7 +20,7 @@
         long now = 100 * SECOND;
 
         Fixture(int countInA, int countInB, int schedulers) {
-            this(countInA, countInB, schedulers, HallRules.defaults(NAMES, 0), 0);
+            this(countInA, countInB, schedulers, HallRules.defaults(HALL_NAMES, 0), 0);
         }
 
         Fixture(int countInA, int countInB, int schedulers, HallRules rules, int ownIndex) {
@@ -42,11 +42,11 @@
             return server;
         }
 
-        /** Turns for so long; the good ones give signs, the others have words spoken against them. */
+        /** Updates the states for so long, with a sign of life or a fault of each given server before every update. */
         void run(long micros, List<HallServer> answering, List<HallServer> failing) {
             for (long until = now + micros; now < until; now += UPDATE_INTERVAL) {
-                answering.forEach(p -> halls.recordSignOfLife(now, p));
-                failing.forEach(p -> halls.recordFault(now, p, HallServer.Fault.UNREACHABLE));
+                answering.forEach(server -> halls.recordSignOfLife(now, server));
+                failing.forEach(server -> halls.recordFault(now, server, HallServer.Fault.UNREACHABLE));
                 logLines.addAll(halls.updateStates(now, false));
             }
         }
@@ -62,11 +62,12 @@
         List<HallServer> usable(List<HallServer> servers, double slots, double worth, boolean repeatable, int tier) {
             double[] prices = halls.priceHalls(now, slots, worth, repeatable, tier);
             return servers.stream()
-                    .filter(p -> prices[p.hall] >= 0 ? prices[p.hall] != HallPolicy.CLOSED : halls.mayUse(p))
+                    .filter(server ->
+                            prices[server.hall] >= 0 ? prices[server.hall] != HallPolicy.CLOSED : halls.mayUse(server))
                     .toList();
         }
 
-        /** Sends a job there and has it served after so long. */
+        /** Sends a job to the server and ends it with a result after so long. */
         void serve(HallServer server, long micros) {
             long sentAt = now;
             halls.recordSent(now, server, 1, 0);
@@ -74,7 +75,7 @@
             halls.recordEnd(now, server, sentAt, 1, true);
         }
 
-        /** What another scheduler says of the halls. */
+        /** Delivers the other scheduler's next message. */
         void receiveFrom(Halls other, int otherIndex) {
             halls.receive(now, otherIndex, other.nextMessage(now));
         }
@@ -82,25 +83,26 @@
 
     @Test
     void aHallWithoutAnswersGoesDarkAndGetsOneTrialAtATime() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
-        assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        assertThat(s.state(1)).isEqualTo(HallState.SERVING);
-        s.run(2 * SECOND, s.serversInB, List.of());
-        List<HallServer> open = s.usable(s.serversInA, 1, 1, true);
-        assertThat(open).isNotEmpty(); // one trial is due
-        s.halls.recordSent(s.now, open.get(0), 1, 0);
-        assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty(); // and only one
-        assertThat(s.usable(s.serversInB, 1, 1, true)).hasSize(4);
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
+        assertThat(fixture.state(1)).isEqualTo(HallState.SERVING);
+        fixture.run(2 * SECOND, fixture.serversInB, List.of());
+        List<HallServer> usable = fixture.usable(fixture.serversInA, 1, 1, true);
+        assertThat(usable).isNotEmpty(); // one trial is due
+        fixture.halls.recordSent(fixture.now, usable.get(0), 1, 0);
+        assertThat(fixture.usable(fixture.serversInA, 1, 1, true)).isEmpty(); // and only one
+        assertThat(fixture.usable(fixture.serversInB, 1, 1, true)).hasSize(4);
     }
 
     @Test
     void theFirstTrialsAreRepeatableJobs() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
-        s.run(2 * SECOND, s.serversInB, List.of());
-        assertThat(s.usable(s.serversInA, 1, 1, false).size())
-                .isLessThanOrEqualTo(s.usable(s.serversInA, 1, 1, true).size());
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        fixture.run(2 * SECOND, fixture.serversInB, List.of());
+        assertThat(fixture.usable(fixture.serversInA, 1, 1, false).size())
+                .isLessThanOrEqualTo(
+                        fixture.usable(fixture.serversInA, 1, 1, true).size());
         Fixture fresh = new Fixture(4, 4, 1);
         fresh.run(4 * UPDATE_INTERVAL, fresh.serversInB, fresh.serversInA);
         assertThat(fresh.state(0)).isEqualTo(HallState.DARK);
@@ -112,167 +114,171 @@
     @Test
     void oneOrTwoLostServersNeverChangeALargerHallsState() {
         for (int size = 3; size <= 6; size++) {
-            Fixture s = new Fixture(size, 4, 1);
-            s.run(20 * SECOND, s.serversInA.subList(2, size), s.serversInA.subList(0, 2));
-            assertThat(s.logLines).isEmpty();
+            Fixture fixture = new Fixture(size, 4, 1);
+            fixture.run(20 * SECOND, fixture.serversInA.subList(2, size), fixture.serversInA.subList(0, 2));
+            assertThat(fixture.logLines).isEmpty();
         }
     }
 
     @Test
     void losingHalfOfAHallDoesNotChangeItsState() {
-        Fixture s = new Fixture(6, 4, 1);
-        s.run(60 * SECOND, s.serversInA.subList(3, 6), s.serversInA.subList(0, 3));
-        assertThat(s.state(0)).isEqualTo(HallState.SERVING);
+        Fixture fixture = new Fixture(6, 4, 1);
+        fixture.run(60 * SECOND, fixture.serversInA.subList(3, 6), fixture.serversInA.subList(0, 3));
+        assertThat(fixture.state(0)).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void resetsAloneNeverMakeAHallDark() {
-        Fixture s = new Fixture(4, 4, 1);
+        Fixture fixture = new Fixture(4, 4, 1);
         for (int k = 0; k < 20; k++) {
-            s.serversInA.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.RESET));
-            s.run(UPDATE_INTERVAL, s.serversInB, List.of());
+            fixture.serversInA.forEach(
+                    server -> fixture.halls.recordFault(fixture.now, server, HallServer.Fault.RESET));
+            fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
         }
-        assertThat(s.state(0)).isEqualTo(HallState.DOUBTED);
-        s.run(4 * SECOND, s.serversInB, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.SERVING);
+        assertThat(fixture.state(0)).isEqualTo(HallState.DOUBTED);
+        fixture.run(4 * SECOND, fixture.serversInB, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void aSingleServerHallGoesDarkOnlyAfterASecondFault() {
-        Fixture s = new Fixture(1, 4, 1);
-        s.halls.recordFault(s.now, s.serversInA.get(0), HallServer.Fault.UNREACHABLE);
-        s.run(3 * SECOND, s.serversInB, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.SERVING);
-        s.run(2 * SECOND, s.serversInB, s.serversInA);
-        assertThat(s.state(0)).isEqualTo(HallState.DARK);
+        Fixture fixture = new Fixture(1, 4, 1);
+        fixture.halls.recordFault(fixture.now, fixture.serversInA.get(0), HallServer.Fault.UNREACHABLE);
+        fixture.run(3 * SECOND, fixture.serversInB, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.SERVING);
+        fixture.run(2 * SECOND, fixture.serversInB, fixture.serversInA);
+        assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
     }
 
     @Test
     void aPlannedDrainCausesNeitherDoubtNorHoldOff() {
-        Fixture s = new Fixture(3, 4, 1);
+        Fixture fixture = new Fixture(3, 4, 1);
         for (int round = 0; round < 3; round++) {
-            s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, true, 0));
-            s.run(2 * SECOND, s.serversInB, List.of());
-            s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
-            s.run(8 * SECOND, s.serversInB, List.of());
-            assertThat(s.state(0)).isEqualTo(HallState.DARK);
-            long started = s.now;
-            s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, started));
-            s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-            assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-            s.run(SECOND, s.serversInB, List.of());
+            fixture.serversInA.forEach(server -> fixture.halls.updateListing(fixture.now, server, 0, false, true, 0));
+            fixture.run(2 * SECOND, fixture.serversInB, List.of());
+            fixture.serversInA.forEach(server -> fixture.halls.updateListing(fixture.now, server, 0, false, false, 0));
+            fixture.run(8 * SECOND, fixture.serversInB, List.of());
+            assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
+            long started = fixture.now;
+            fixture.serversInA.forEach(
+                    server -> fixture.halls.updateListing(fixture.now, server, 0, true, false, started));
+            fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+            assertThat(fixture.state(0)).isEqualTo(HallState.RETURNING);
+            fixture.run(SECOND, fixture.serversInB, List.of());
             for (int k = 0; k < 30; k++) {
-                s.serversInA.stream()
-                        .filter(p -> s.usable(s.serversInA, 1, 1, true).contains(p))
-                        .forEach(p -> s.serve(p, 100 * MS));
+                fixture.serversInA.stream()
+                        .filter(server ->
+                                fixture.usable(fixture.serversInA, 1, 1, true).contains(server))
+                        .forEach(server -> fixture.serve(server, 100 * MILLISECOND));
             }
-            s.run(2 * SECOND, s.serversInA, List.of());
-            assertThat(s.state(0)).isEqualTo(HallState.SERVING);
+            fixture.run(2 * SECOND, fixture.serversInA, List.of());
+            assertThat(fixture.state(0)).isEqualTo(HallState.SERVING);
         }
-        assertThat(s.logLines).noneMatch(line -> line.contains("doubted") || line.contains("held"));
+        assertThat(fixture.logLines).noneMatch(line -> line.contains("doubted") || line.contains("held"));
     }
 
     @Test
     void aHallBrieflyMissingFromTheServerListServesAtOnceWhenListedAgain() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
-        s.run(SECOND, s.serversInA, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, true, false, 0));
-        s.run(UPDATE_INTERVAL, s.serversInA, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.SERVING);
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.serversInA.forEach(server -> fixture.halls.updateListing(fixture.now, server, 0, false, false, 0));
+        fixture.run(SECOND, fixture.serversInA, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
+        fixture.serversInA.forEach(server -> fixture.halls.updateListing(fixture.now, server, 0, true, false, 0));
+        fixture.run(UPDATE_INTERVAL, fixture.serversInA, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void aReturningHallProvesItselfServerByServer() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
-        s.halls.recordProbe(s.now, s.serversInA.get(0), true);
-        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.run(SECOND, s.serversInB, List.of());
-        HallServer first = s.usable(s.serversInA, 1, 1, true).get(0);
-        s.halls.recordSent(s.now, first, 1, 0);
-        assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty(); // one trial, not one for each server
-        s.halls.recordEnd(s.now, first, s.now, 1, true);
-        assertThat(s.usable(s.serversInA, 1, 1, true)).contains(first);
-        // What it may hold grows with what it serves.
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        fixture.halls.recordProbe(fixture.now, fixture.serversInA.get(0), true);
+        fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.RETURNING);
+        fixture.run(SECOND, fixture.serversInB, List.of());
+        HallServer first = fixture.usable(fixture.serversInA, 1, 1, true).get(0);
+        fixture.halls.recordSent(fixture.now, first, 1, 0);
+        assertThat(fixture.usable(fixture.serversInA, 1, 1, true)).isEmpty(); // one trial, not one for each server
+        fixture.halls.recordEnd(fixture.now, first, fixture.now, 1, true);
+        assertThat(fixture.usable(fixture.serversInA, 1, 1, true)).contains(first);
+        // The slots that it may hold grow with each job that it serves.
         int previousLimit = 0;
         for (int round = 0; round < 6; round++) {
             int accepted = 0;
-            while (accepted < 100 && s.usable(List.of(first), 1, 1, true).size() == 1) {
-                s.halls.recordSent(s.now, first, 1, 0);
+            while (accepted < 100 && fixture.usable(List.of(first), 1, 1, true).size() == 1) {
+                fixture.halls.recordSent(fixture.now, first, 1, 0);
                 accepted++;
             }
             assertThat(accepted).isGreaterThan(previousLimit);
             previousLimit = accepted;
             for (int k = 0; k < accepted; k++) {
-                s.halls.recordEnd(s.now, first, s.now, 1, k == 0);
+                fixture.halls.recordEnd(fixture.now, first, fixture.now, 1, k == 0);
             }
         }
     }
 
     @Test
     void resultsOfEarlierJobsAreASignOfLifeButProveNothing() {
-        Fixture s = new Fixture(4, 4, 1);
-        long sentAt = s.now;
-        s.serversInA.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
-        s.run(SECOND, s.serversInB, s.serversInA);
-        assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        s.halls.recordEnd(s.now, s.serversInA.get(0), sentAt, 1, true);
-        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.serversInA
+        Fixture fixture = new Fixture(4, 4, 1);
+        long sentAt = fixture.now;
+        fixture.serversInA.forEach(server -> fixture.halls.recordSent(fixture.now, server, 1, 0));
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
+        fixture.halls.recordEnd(fixture.now, fixture.serversInA.get(0), sentAt, 1, true);
+        fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.RETURNING);
+        // The other results come while it returns.
+        fixture.serversInA
                 .subList(1, 4)
-                .forEach(p -> s.halls.recordEnd(s.now, p, sentAt, 1, true)); // the rest comes while it returns
-        s.run(SECOND, s.serversInB, List.of());
-        HallServer first = s.usable(s.serversInA, 1, 1, true).get(0);
-        s.halls.recordSent(s.now, first, 1, 0);
-        assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty();
+                .forEach(server -> fixture.halls.recordEnd(fixture.now, server, sentAt, 1, true));
+        fixture.run(SECOND, fixture.serversInB, List.of());
+        HallServer first = fixture.usable(fixture.serversInA, 1, 1, true).get(0);
+        fixture.halls.recordSent(fixture.now, first, 1, 0);
+        assertThat(fixture.usable(fixture.serversInA, 1, 1, true)).isEmpty();
     }
 
     @Test
     void aHalfWorkingHallKeepsReturningAndUsesOnlyProvenServers() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
-        List<HallServer> answering = s.serversInA.subList(0, 2), failing = s.serversInA.subList(2, 4);
-        s.run(UPDATE_INTERVAL, answering, List.of());
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        List<HallServer> answering = fixture.serversInA.subList(0, 2), failing = fixture.serversInA.subList(2, 4);
+        fixture.run(UPDATE_INTERVAL, answering, List.of());
         for (int k = 0; k < 200; k++) {
-            for (HallServer p : s.usable(s.serversInA, 1, 1, true)) {
-                s.halls.recordSent(s.now, p, 1, 0);
-                s.halls.recordEnd(s.now, p, s.now, 1, answering.contains(p));
+            for (HallServer server : fixture.usable(fixture.serversInA, 1, 1, true)) {
+                fixture.halls.recordSent(fixture.now, server, 1, 0);
+                fixture.halls.recordEnd(fixture.now, server, fixture.now, 1, answering.contains(server));
             }
-            s.run(UPDATE_INTERVAL, answering, failing);
+            fixture.run(UPDATE_INTERVAL, answering, failing);
         }
-        assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        assertThat(s.usable(answering, 1, 1, true)).hasSize(2);
-        assertThat(s.usable(failing, 1, 1, false)).isEmpty();
+        assertThat(fixture.state(0)).isEqualTo(HallState.RETURNING);
+        assertThat(fixture.usable(answering, 1, 1, true)).hasSize(2);
+        assertThat(fixture.usable(failing, 1, 1, false)).isEmpty();
     }
 
     @Test
     void aHallThatFlapsIsHeldOffForLongerEachTime() {
-        Fixture s = new Fixture(4, 4, 1);
+        Fixture fixture = new Fixture(4, 4, 1);
         List<Long> holdOffs = new ArrayList<>();
-        s.run(SECOND, s.serversInB, s.serversInA);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
         for (int flap = 0; flap < 3; flap++) {
-            s.run(UPDATE_INTERVAL, s.serversInA, List.of());
-            for (int k = 0; k < 40 && s.state(0) == HallState.RETURNING; k++) {
-                for (HallServer p : s.usable(s.serversInA, 1, 1, true)) {
-                    s.halls.recordSent(s.now, p, 1, 0);
-                    s.halls.recordEnd(s.now, p, s.now, 1, true);
+            fixture.run(UPDATE_INTERVAL, fixture.serversInA, List.of());
+            for (int k = 0; k < 40 && fixture.state(0) == HallState.RETURNING; k++) {
+                for (HallServer server : fixture.usable(fixture.serversInA, 1, 1, true)) {
+                    fixture.halls.recordSent(fixture.now, server, 1, 0);
+                    fixture.halls.recordEnd(fixture.now, server, fixture.now, 1, true);
                 }
-                s.run(UPDATE_INTERVAL, s.serversInA, List.of());
+                fixture.run(UPDATE_INTERVAL, fixture.serversInA, List.of());
             }
-            for (int k = 0; k < 50 && s.state(0) != HallState.HELD; k++) {
-                s.run(UPDATE_INTERVAL, s.serversInB, s.serversInA);
+            for (int k = 0; k < 50 && fixture.state(0) != HallState.HELD; k++) {
+                fixture.run(UPDATE_INTERVAL, fixture.serversInB, fixture.serversInA);
             }
-            assertThat(s.state(0)).isEqualTo(HallState.HELD);
-            long from = s.now;
-            assertThat(s.usable(s.serversInA, 1, 1, true)).isEmpty();
-            while (s.state(0) == HallState.HELD && s.now - from < 60 * SECOND) {
-                s.run(UPDATE_INTERVAL, s.serversInA, List.of()); // it looks well all the time
+            assertThat(fixture.state(0)).isEqualTo(HallState.HELD);
+            long heldSince = fixture.now;
+            assertThat(fixture.usable(fixture.serversInA, 1, 1, true)).isEmpty();
+            while (fixture.state(0) == HallState.HELD && fixture.now - heldSince < 60 * SECOND) {
+                fixture.run(UPDATE_INTERVAL, fixture.serversInA, List.of()); // it answers all the time
             }
-            holdOffs.add(s.now - from);
+            holdOffs.add(fixture.now - heldSince);
         }
         assertThat(holdOffs.get(0)).isBetween(3 * SECOND, 7 * SECOND);
         assertThat(holdOffs.get(1)).isBetween(7 * SECOND, 13 * SECOND);
@@ -281,197 +287,212 @@
 
     @Test
     void aHallCutOffOnlyFromThisSchedulerIsLoggedAsCutOff() {
-        Fixture s = new Fixture(4, 4, 2), other = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
+        Fixture fixture = new Fixture(4, 4, 2), other = new Fixture(4, 4, 2, HallRules.defaults(HALL_NAMES, 0), 1);
         for (int k = 0; k < 20; k++) {
-            other.now = s.now;
+            other.now = fixture.now;
             other.run(UPDATE_INTERVAL, other.serversInA, List.of());
-            s.receiveFrom(other.halls, 1);
-            s.run(UPDATE_INTERVAL, s.serversInB, s.serversInA);
+            fixture.receiveFrom(other.halls, 1);
+            fixture.run(UPDATE_INTERVAL, fixture.serversInB, fixture.serversInA);
         }
-        assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        assertThat(s.logLines).anyMatch(line -> line.contains("cut-off"));
+        assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
+        assertThat(fixture.logLines).anyMatch(line -> line.contains("cut-off"));
         assertThat(other.state(0)).isEqualTo(HallState.SERVING);
-        // Its own trouble must not keep others' work out of a hall that serves.
-        other.receiveFrom(s.halls, 0);
-        Fixture far = new Fixture(4, 4, 3, HallRules.defaults(NAMES, 1), 2);
-        far.now = s.now;
+        // Its report must not keep other schedulers' work out of a hall that serves.
+        other.receiveFrom(fixture.halls, 0);
+        Fixture far = new Fixture(4, 4, 3, HallRules.defaults(HALL_NAMES, 1), 2);
+        far.now = fixture.now;
         far.run(UPDATE_INTERVAL, far.serversInA, List.of());
-        far.receiveFrom(s.halls, 0);
+        far.receiveFrom(fixture.halls, 0);
         assertThat(far.usable(far.serversInA, 1, 1, true)).hasSize(4);
     }
 
     @Test
     void aFreshSchedulerBelievesItsPeers() {
-        Fixture other = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 0), 1);
+        Fixture other = new Fixture(4, 4, 2, HallRules.defaults(HALL_NAMES, 0), 1);
         other.run(SECOND, other.serversInB, other.serversInA);
-        Fixture s = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 0);
-        s.serversInA.forEach(p -> p.lastSignAt = Long.MIN_VALUE / 2); // it has never heard of any
-        s.now = other.now;
-        s.run(SECOND, s.serversInB, List.of()); // it was not there before: nothing counts yet
-        s.receiveFrom(other.halls, 1);
-        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.DARK);
-        // It does not say so itself: a rumour would come back to its teller as a second voice.
-        HallMessageCodec.Message told = HallMessageCodec.decode(s.halls.nextMessage(s.now), 3);
-        assertThat(told.halls().get(0).state()).isEqualTo(HallState.SERVING);
+        Fixture fixture = new Fixture(4, 4, 2, HallRules.defaults(HALL_NAMES, 1), 0);
+        fixture.serversInA.forEach(server -> server.lastSignAt = Long.MIN_VALUE / 2); // no sign of life yet
+        fixture.now = other.now;
+        fixture.run(SECOND, fixture.serversInB, List.of()); // after its first gap it ignores all evidence for a while
+        fixture.receiveFrom(other.halls, 1);
+        fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.DARK);
+        // It does not report this itself: a peer's own report must not come back to it as a second opinion.
+        HallMessageCodec.Message message = HallMessageCodec.decode(fixture.halls.nextMessage(fixture.now), 3);
+        assertThat(message.halls().get(0).state()).isEqualTo(HallState.SERVING);
     }
 
     @Test
     void aTroubledHallTakesNoForeignWork() {
-        Fixture home = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
-        Fixture s = new Fixture(4, 4, 2);
-        assertThat(s.usable(s.serversInB, 1, 1, true)).hasSize(4);
+        Fixture home = new Fixture(4, 4, 2, HallRules.defaults(HALL_NAMES, 1), 1);
+        Fixture fixture = new Fixture(4, 4, 2);
+        assertThat(fixture.usable(fixture.serversInB, 1, 1, true)).hasSize(4);
         home.run(2 * SECOND, home.serversInA, home.serversInB);
-        s.now = home.now;
-        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-        s.receiveFrom(home.halls, 1);
-        assertThat(s.usable(s.serversInB, 1, 1, true)).isEmpty();
+        fixture.now = home.now;
+        fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+        fixture.receiveFrom(home.halls, 1);
+        assertThat(fixture.usable(fixture.serversInB, 1, 1, true)).isEmpty();
     }
 
     @Test
     void foreignWorkStaysWithinTheSpillLimitAndHighWorthGetsTheLastOfIt() {
-        Fixture s = new Fixture(4, 4, 2); // 20 slots in b, two schedulers: 10 each
-        double sent = 0;
-        while (sent < 100 && !s.usable(s.serversInB, 1, 0.2, true).isEmpty()) {
-            s.halls.recordSent(s.now, s.serversInB.get(0), 1, 0);
-            sent++;
+        Fixture fixture = new Fixture(4, 4, 2); // 20 slots in b, two schedulers: 10 each
+        double sentJobs = 0;
+        while (sentJobs < 100
+                && !fixture.usable(fixture.serversInB, 1, 0.2, true).isEmpty()) {
+            fixture.halls.recordSent(fixture.now, fixture.serversInB.get(0), 1, 0);
+            sentJobs++;
         }
-        assertThat(sent).isEqualTo(7); // 0.76 of 10
-        while (sent < 100 && !s.usable(s.serversInB, 1, 1, true).isEmpty()) {
-            s.halls.recordSent(s.now, s.serversInB.get(0), 1, 0);
-            sent++;
+        assertThat(sentJobs).isEqualTo(7); // 0.7 + 0.3 * 0.2 = 0.76 of 10
+        while (sentJobs < 100 && !fixture.usable(fixture.serversInB, 1, 1, true).isEmpty()) {
+            fixture.halls.recordSent(fixture.now, fixture.serversInB.get(0), 1, 0);
+            sentJobs++;
         }
-        assertThat(sent).isEqualTo(10);
-        assertThat(s.usable(s.serversInA, 1, 1, true)).hasSize(4); // at home there is no such limit
+        assertThat(sentJobs).isEqualTo(10);
+        assertThat(fixture.usable(fixture.serversInA, 1, 1, true)).hasSize(4); // the home hall has no such limit
     }
 
     @Test
     void aHallCrowdedByItsOwnRequestsAcceptsLessForeignWork() {
-        Fixture home = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
-        Fixture s = new Fixture(4, 4, 2);
+        Fixture home = new Fixture(4, 4, 2, HallRules.defaults(HALL_NAMES, 1), 1);
+        Fixture fixture = new Fixture(4, 4, 2);
         for (int k = 0; k < 100; k++) {
             home.halls.recordRefusal(home.now, 1);
             home.run(UPDATE_INTERVAL, home.serversInB, List.of());
         }
-        s.now = home.now;
-        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-        double before = s.halls.spillLimit(s.now, 1);
-        s.receiveFrom(home.halls, 1);
-        assertThat(s.halls.spillLimit(s.now, 1)).isLessThan(before / 10);
+        fixture.now = home.now;
+        fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+        double limitBefore = fixture.halls.spillLimit(fixture.now, 1);
+        fixture.receiveFrom(home.halls, 1);
+        assertThat(fixture.halls.spillLimit(fixture.now, 1)).isLessThan(limitBefore / 10);
         home.run(10 * SECOND, home.serversInB, List.of());
-        s.now = home.now;
-        s.receiveFrom(home.halls, 1);
-        assertThat(s.halls.spillLimit(s.now, 1))
-                .isGreaterThan(before); // and its scheduler is known not to share any more
+        fixture.now = home.now;
+        fixture.receiveFrom(home.halls, 1);
+        // The home scheduler is known by now not to share the spill limit.
+        assertThat(fixture.halls.spillLimit(fixture.now, 1)).isGreaterThan(limitBefore);
     }
 
     @Test
     void retriesAfterAHallFailureAreBoundedAndReservedForHighWorth() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
         int lowWorthRetries = 0, highWorthRetries = 0;
-        while (lowWorthRetries < 100 && s.halls.mayRetry(s.now, s.serversInA.get(0), 0.1)) {
+        while (lowWorthRetries < 100 && fixture.halls.mayRetry(fixture.now, fixture.serversInA.get(0), 0.1)) {
             lowWorthRetries++;
         }
-        while (highWorthRetries < 100 && s.halls.mayRetry(s.now, s.serversInA.get(0), 1)) {
+        while (highWorthRetries < 100 && fixture.halls.mayRetry(fixture.now, fixture.serversInA.get(0), 1)) {
             highWorthRetries++;
         }
         assertThat(lowWorthRetries).isBetween(1, 5);
         assertThat(lowWorthRetries + highWorthRetries).isEqualTo(10);
-        assertThat(s.halls.mayRetry(s.now, s.serversInB.get(0), 0))
-                .isTrue(); // one server's trouble in a hall that serves
+        // Retries in a serving hall are not limited here.
+        assertThat(fixture.halls.mayRetry(fixture.now, fixture.serversInB.get(0), 0))
+                .isTrue();
     }
 
     @Test
     void strictTiersOpenAFurtherHallOnlyInALaterRound() {
-        HallRules usual = HallRules.defaults(NAMES, 0);
+        HallRules defaults = HallRules.defaults(HALL_NAMES, 0);
         HallRules strict = new HallRules(
-                NAMES, 0, List.of(0, 1), true, 0.5, 0.6, SECOND, SECOND / 2, SECOND, SECOND, SECOND, SECOND, 0.1, 10);
-        Fixture s = new Fixture(4, 4, 1, strict, 0);
-        assertThat(s.halls.tierRounds()).isEqualTo(2);
-        assertThat(s.usable(s.serversInB, 1, 1, true)).isEmpty();
-        assertThat(s.usable(s.serversInB, 1, 1, true, 1)).hasSize(4);
-        assertThat(new Fixture(4, 4, 1, usual, 0).halls.tierRounds()).isEqualTo(1);
+                HALL_NAMES,
+                0,
+                List.of(0, 1),
+                true,
+                0.5,
+                0.6,
+                SECOND,
+                SECOND / 2,
+                SECOND,
+                SECOND,
+                SECOND,
+                SECOND,
+                0.1,
+                10);
+        Fixture fixture = new Fixture(4, 4, 1, strict, 0);
+        assertThat(fixture.halls.tierRounds()).isEqualTo(2);
+        assertThat(fixture.usable(fixture.serversInB, 1, 1, true)).isEmpty();
+        assertThat(fixture.usable(fixture.serversInB, 1, 1, true, 1)).hasSize(4);
+        assertThat(new Fixture(4, 4, 1, defaults, 0).halls.tierRounds()).isEqualTo(1);
     }
 
     @Test
     void aPauseOfThisProcessIsNoEvidenceAgainstAnyHall() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInA, List.of());
-        s.now += 5 * SECOND;
-        s.serversInA.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
-        s.serversInB.forEach(p -> s.halls.recordFault(s.now, p, HallServer.Fault.SILENT));
-        s.run(UPDATE_INTERVAL, List.of(), List.of());
-        s.run(2 * SECOND, allServers(s), List.of());
-        assertThat(s.logLines).isEmpty();
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInA, List.of());
+        fixture.now += 5 * SECOND;
+        fixture.serversInA.forEach(server -> fixture.halls.recordFault(fixture.now, server, HallServer.Fault.SILENT));
+        fixture.serversInB.forEach(server -> fixture.halls.recordFault(fixture.now, server, HallServer.Fault.SILENT));
+        fixture.run(UPDATE_INTERVAL, List.of(), List.of());
+        fixture.run(2 * SECOND, allServers(fixture), List.of());
+        assertThat(fixture.logLines).isEmpty();
     }
 
-    private static List<HallServer> allServers(Fixture s) {
-        List<HallServer> all = new ArrayList<>(s.serversInA);
-        all.addAll(s.serversInB);
+    private static List<HallServer> allServers(Fixture fixture) {
+        List<HallServer> all = new ArrayList<>(fixture.serversInA);
+        all.addAll(fixture.serversInB);
         return all;
     }
 
     @Test
     void inPanicEachServerGetsOneJob() {
-        Fixture s = new Fixture(3, 3, 1);
-        s.run(3 * SECOND, List.of(), allServers(s));
-        assertThat(s.halls.states()).containsOnly(HallState.DARK);
-        List<HallServer> open = s.usable(allServers(s), 1, 1, false);
-        assertThat(open).hasSize(6);
-        open.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
-        assertThat(s.usable(allServers(s), 1, 1, false)).isEmpty();
+        Fixture fixture = new Fixture(3, 3, 1);
+        fixture.run(3 * SECOND, List.of(), allServers(fixture));
+        assertThat(fixture.halls.states()).containsOnly(HallState.DARK);
+        List<HallServer> usable = fixture.usable(allServers(fixture), 1, 1, false);
+        assertThat(usable).hasSize(6);
+        usable.forEach(server -> fixture.halls.recordSent(fixture.now, server, 1, 0));
+        assertThat(fixture.usable(allServers(fixture), 1, 1, false)).isEmpty();
     }
 
     @Test
     void inPanicAServerProvenEarlierGetsOneJobToo() {
-        Fixture s = new Fixture(3, 3, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
-        s.run(SECOND, allServers(s), List.of());
-        s.serve(s.usable(s.serversInA, 1, 1, true).get(0), UPDATE_INTERVAL);
-        s.run(3 * SECOND, List.of(), allServers(s));
-        assertThat(s.halls.states()).doesNotContain(HallState.SERVING, HallState.RETURNING, HallState.DOUBTED);
-        List<HallServer> open = s.usable(allServers(s), 1, 1, false);
-        open.forEach(p -> s.halls.recordSent(s.now, p, 1, 0));
-        assertThat(s.usable(allServers(s), 1, 1, false)).isEmpty();
+        Fixture fixture = new Fixture(3, 3, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        fixture.run(SECOND, allServers(fixture), List.of());
+        fixture.serve(fixture.usable(fixture.serversInA, 1, 1, true).get(0), UPDATE_INTERVAL);
+        fixture.run(3 * SECOND, List.of(), allServers(fixture));
+        assertThat(fixture.halls.states()).doesNotContain(HallState.SERVING, HallState.RETURNING, HallState.DOUBTED);
+        List<HallServer> usable = fixture.usable(allServers(fixture), 1, 1, false);
+        usable.forEach(server -> fixture.halls.recordSent(fixture.now, server, 1, 0));
+        assertThat(fixture.usable(allServers(fixture), 1, 1, false)).isEmpty();
     }
 
     @Test
     void aHallOfNewServersReturnsWithOneJobAtATime() {
-        Fixture s = new Fixture(4, 4, 1);
-        s.run(SECOND, s.serversInB, s.serversInA);
-        s.serversInA.forEach(p -> s.halls.updateListing(s.now, p, 0, false, false, 0));
-        s.run(SECOND, s.serversInB, List.of());
+        Fixture fixture = new Fixture(4, 4, 1);
+        fixture.run(SECOND, fixture.serversInB, fixture.serversInA);
+        fixture.serversInA.forEach(server -> fixture.halls.updateListing(fixture.now, server, 0, false, false, 0));
+        fixture.run(SECOND, fixture.serversInB, List.of());
         List<HallServer> fresh = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
-            fresh.add(s.addServer("new" + k, 0, s.now));
+            fresh.add(fixture.addServer("new" + k, 0, fixture.now));
         }
-        s.run(UPDATE_INTERVAL, s.serversInB, List.of());
-        assertThat(s.state(0)).isEqualTo(HallState.RETURNING);
-        s.run(SECOND, s.serversInB, List.of());
-        s.halls.recordSent(s.now, s.usable(fresh, 1, 1, true).get(0), 1, 0);
-        assertThat(s.usable(fresh, 1, 1, true)).isEmpty();
+        fixture.run(UPDATE_INTERVAL, fixture.serversInB, List.of());
+        assertThat(fixture.state(0)).isEqualTo(HallState.RETURNING);
+        fixture.run(SECOND, fixture.serversInB, List.of());
+        fixture.halls.recordSent(fixture.now, fixture.usable(fresh, 1, 1, true).get(0), 1, 0);
+        assertThat(fixture.usable(fresh, 1, 1, true)).isEmpty();
     }
 
     @Test
     void datagramsAreCheckedAndOldOnesDropped() {
-        Fixture s = new Fixture(4, 4, 2), other = new Fixture(4, 4, 2, HallRules.defaults(NAMES, 1), 1);
-        byte[] first = other.halls.nextMessage(other.now);
+        Fixture fixture = new Fixture(4, 4, 2), other = new Fixture(4, 4, 2, HallRules.defaults(HALL_NAMES, 1), 1);
+        byte[] olderMessage = other.halls.nextMessage(other.now);
         for (int k = 0; k < 20; k++) {
             other.halls.recordRefusal(other.now, 1);
             other.run(UPDATE_INTERVAL, other.serversInB, List.of());
         }
-        byte[] second = other.halls.nextMessage(other.now);
-        assertThat(second.length).isLessThanOrEqualTo(256);
-        assertThat(s.halls.receive(s.now, 1, second)).isTrue();
-        double part = s.halls.spillLimit(s.now, 1);
-        assertThat(s.halls.receive(s.now, 1, first)).isTrue();
-        assertThat(s.halls.spillLimit(s.now, 1)).isEqualTo(part);
-        for (int cut = 1; cut < second.length; cut++) {
-            assertThat(s.halls.receive(s.now, 1, java.util.Arrays.copyOf(second, cut)))
+        byte[] newerMessage = other.halls.nextMessage(other.now);
+        assertThat(newerMessage.length).isLessThanOrEqualTo(256);
+        assertThat(fixture.halls.receive(fixture.now, 1, newerMessage)).isTrue();
+        double limit = fixture.halls.spillLimit(fixture.now, 1);
+        assertThat(fixture.halls.receive(fixture.now, 1, olderMessage)).isTrue();
+        assertThat(fixture.halls.spillLimit(fixture.now, 1)).isEqualTo(limit);
+        for (int length = 1; length < newerMessage.length; length++) {
+            assertThat(fixture.halls.receive(fixture.now, 1, java.util.Arrays.copyOf(newerMessage, length)))
                     .isTrue();
         }
-        assertThat(s.halls.receive(s.now, 1, new byte[] {1, 2, 3})).isFalse();
+        assertThat(fixture.halls.receive(fixture.now, 1, new byte[] {1, 2, 3})).isFalse();
         assertThat(HallMessageCodec.decode(new byte[] {3, 0, 0, 0, 0, 0, 1, 9, 0, 0, 0, 0, 0, 0}, 3))
                 .isNull();
     }
