--- a/src/main/java/barrowshore/net/ConnectionManager.java
+++ b/src/main/java/barrowshore/net/ConnectionManager.java
@@ -39,36 +39,36 @@
     }
 
     /** How often, and how many milliseconds apart, is looked whether those that wait for a descriptor can be taken in. */
-    private static final int MOST_SWEEPS = 100;
+    private static final int MAX_ACCEPT_SWEEPS = 100;
 
-    private static final long SWEEP_MILLIS = 10;
+    private static final long ACCEPT_SWEEP_INTERVAL_MILLIS = 10;
 
-    private final Budget budget;
-    private final Budget clients;
-    private final Function<EndPoint, Connection> accepted;
-    private final long connectMillis;
+    private final ResizableSemaphore outgoingPermits;
+    private final ResizableSemaphore clientPermits;
+    private final Function<EndPoint, Connection> acceptedConnectionFactory;
+    private final long connectTimeoutMillis;
     /** The only one; null until the start, and kept after the end for connections that are closed by it. */
     private volatile ManagedSelector selector;
     /** Clients' connections from their accept to their end, also those that no actor knows yet; the permits given out. */
-    private final AtomicInteger clientsOpen = new AtomicInteger();
+    private final AtomicInteger openClientConnections = new AtomicInteger();
 
     /** The listening socket's key while nothing is accepted for want of a permit, else null; the selector thread's. */
-    private SelectionKey paused;
+    private SelectionKey pausedListenKey;
 
-    private final AtomicReference<Runnable> whenClientsGone = new AtomicReference<>();
+    private final AtomicReference<Runnable> clientsGoneCallback = new AtomicReference<>();
 
     public ConnectionManager(
             Executor pool,
             Scheduler scheduler,
-            int outgoing,
-            int clients,
-            long connectMillis,
-            Function<EndPoint, Connection> accepted) {
+            int maxOutgoing,
+            int maxClients,
+            long connectTimeoutMillis,
+            Function<EndPoint, Connection> acceptedConnectionFactory) {
         super(pool, scheduler, 1);
-        this.budget = new Budget(outgoing);
-        this.clients = new Budget(clients);
-        this.accepted = accepted;
-        this.connectMillis = connectMillis;
+        this.outgoingPermits = new ResizableSemaphore(maxOutgoing);
+        this.clientPermits = new ResizableSemaphore(maxClients);
+        this.acceptedConnectionFactory = acceptedConnectionFactory;
+        this.connectTimeoutMillis = connectTimeoutMillis;
     }
 
     @Override
@@ -78,26 +78,26 @@
     }
 
     /** Dials; false if that would not leave so many descriptors to others, in which case the opener hears nothing. */
-    public boolean dial(InetSocketAddress address, int leave, DialHandler opener) {
-        if (!budget.tryAcquire(1 + leave)) {
+    public boolean dial(InetSocketAddress address, int descriptorsToLeave, DialHandler handler) {
+        if (!outgoingPermits.tryAcquire(1 + descriptorsToLeave)) {
             return false;
         }
-        budget.release(leave);
+        outgoingPermits.release(descriptorsToLeave);
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             if (channel.connect(address)) {
-                accept(channel, opener);
+                accept(channel, handler);
             } else {
-                connect(channel, opener);
-                limit(channel, opener);
+                connect(channel, handler);
+                scheduleConnectTimeout(channel, handler);
             }
         } catch (IOException | RuntimeException e) {
             IO.close(channel);
-            budget.release();
-            opener.onDialFailed(e);
+            outgoingPermits.release();
+            handler.onDialFailed(e);
         }
         return true;
     }
@@ -107,22 +107,22 @@
      * limit may run out while the selector has yet to look at a connection that has long been up. So the selector's own
      * thread decides, after it has looked once more. Its limit on connecting, which does not look, is far longer.
      */
-    private void limit(SocketChannel channel, DialHandler opener) {
+    private void scheduleConnectTimeout(SocketChannel channel, DialHandler handler) {
         getScheduler()
                 .schedule(
                         () -> {
                             if (channel.isConnectionPending()) {
-                                selector.submit(keys -> selector.submit(again -> {
+                                selector.submit(keys -> selector.submit(nextKeys -> {
                                     if (channel.isConnectionPending()) {
                                         connectionFailed(
                                                 channel,
-                                                new SocketTimeoutException("not up in " + connectMillis + " ms"),
-                                                opener);
+                                                new SocketTimeoutException("not up in " + connectTimeoutMillis + " ms"),
+                                                handler);
                                     }
                                 }));
                             }
                         },
-                        connectMillis,
+                        connectTimeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -142,20 +142,20 @@
             if (key != null) {
                 key.cancel();
             }
-            selector.submit(again -> sweep(server, MOST_SWEEPS, ended));
+            selector.submit(nextKeys -> acceptWaitingThenClose(server, MAX_ACCEPT_SWEEPS, ended));
         });
     }
 
-    private void sweep(ServerSocketChannel server, int left, Runnable ended) {
+    private void acceptWaitingThenClose(ServerSocketChannel server, int sweepsLeft, Runnable ended) {
         try {
-            for (SelectableChannel next = doAccept(server); next != null; next = doAccept(server)) {
-                accepted(next);
+            for (SelectableChannel channel = doAccept(server); channel != null; channel = doAccept(server)) {
+                accepted(channel);
             }
-            if (left > 0 && (server.isRegistered() || clients.availablePermits() <= 0)) {
+            if (sweepsLeft > 0 && (server.isRegistered() || clientPermits.availablePermits() <= 0)) {
                 getScheduler()
                         .schedule(
-                                () -> selector.submit(again -> sweep(server, left - 1, ended)),
-                                SWEEP_MILLIS,
+                                () -> selector.submit(keys -> acceptWaitingThenClose(server, sweepsLeft - 1, ended)),
+                                ACCEPT_SWEEP_INTERVAL_MILLIS,
                                 TimeUnit.MILLISECONDS);
             } else {
                 server.close();
@@ -168,25 +168,25 @@
     }
 
     /** So many descriptors more; less than 0: fewer, those in use as they are given back. */
-    public void addPermits(int outgoing, int more) {
-        budget.grow(outgoing);
-        clients.grow(more);
+    public void addPermits(int outgoingDelta, int clientDelta) {
+        outgoingPermits.addPermits(outgoingDelta);
+        clientPermits.addPermits(clientDelta);
         selector.submit(keys -> resumeAccepting());
     }
 
     /** Permits that may become fewer while all are given out. */
-    private static final class Budget extends Semaphore {
+    private static final class ResizableSemaphore extends Semaphore {
         private static final long serialVersionUID = 1;
 
-        Budget(int permits) {
+        ResizableSemaphore(int permits) {
             super(permits);
         }
 
-        void grow(int more) {
-            if (more < 0) {
-                reducePermits(-more);
+        void addPermits(int delta) {
+            if (delta < 0) {
+                reducePermits(-delta);
             } else {
-                release(more);
+                release(delta);
             }
         }
     }
@@ -197,7 +197,7 @@
      */
     @Override
     protected SelectableChannel doAccept(SelectableChannel server) throws IOException {
-        if (!clients.tryAcquire()) {
+        if (!clientPermits.tryAcquire()) {
             pauseAccepting(server);
             return null;
         }
@@ -207,9 +207,9 @@
             return channel;
         } finally {
             if (channel == null) {
-                clients.release();
+                clientPermits.release();
             } else {
-                clientsOpen.incrementAndGet();
+                openClientConnections.incrementAndGet();
             }
         }
     }
@@ -222,13 +222,13 @@
         SelectionKey key = server.keyFor(selector.getSelector());
         if (key != null && key.isValid()) {
             key.interestOps(0);
-            paused = key;
+            pausedListenKey = key;
         }
     }
 
     private void resumeAccepting() {
-        SelectionKey key = paused;
-        paused = null;
+        SelectionKey key = pausedListenKey;
+        pausedListenKey = null;
         if (key != null && key.isValid()) {
             key.interestOps(SelectionKey.OP_ACCEPT);
         }
@@ -242,7 +242,7 @@
             accept(channel, null);
         } catch (IOException e) {
             IO.close(channel); // it has gone while it waited; the others that wait have not
-            clientGone();
+            releaseClientPermit();
         }
     }
 
@@ -253,14 +253,18 @@
 
     @Override
     public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-        return attachment instanceof DialHandler opener ? opener.apply(endPoint) : accepted.apply(endPoint);
+        return attachment instanceof DialHandler handler
+                ? handler.apply(endPoint)
+                : acceptedConnectionFactory.apply(endPoint);
     }
 
     @Override
     public void connectionClosed(Connection connection, Throwable cause) {
         super.connectionClosed(connection, cause);
         SelectableChannel channel = ((SocketChannelEndPoint) connection.getEndPoint()).getChannel();
-        afterRelease(channel, connection instanceof AcceptedConnection ? this::clientGone : budget::release);
+        afterRelease(
+                channel,
+                connection instanceof AcceptedConnection ? this::releaseClientPermit : outgoingPermits::release);
     }
 
     /**
@@ -282,41 +286,41 @@
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         super.onAcceptFailed(channel, cause, attachment);
-        if (attachment instanceof DialHandler opener) {
-            afterRelease(channel, budget::release);
-            opener.onDialFailed(cause);
+        if (attachment instanceof DialHandler handler) {
+            afterRelease(channel, outgoingPermits::release);
+            handler.onDialFailed(cause);
         } else {
-            afterRelease(channel, this::clientGone);
+            afterRelease(channel, this::releaseClientPermit);
         }
     }
 
-    private void clientGone() {
-        clients.release();
+    private void releaseClientPermit() {
+        clientPermits.release();
         resumeAccepting();
-        if (clientsOpen.decrementAndGet() == 0) {
-            tellIfClientsGone();
+        if (openClientConnections.decrementAndGet() == 0) {
+            notifyIfClientsGone();
         }
     }
 
     /** The message runs once no accepted connection is open; for when no more are accepted. */
-    public void whenClientsGone(Runnable message) {
-        whenClientsGone.set(message);
-        tellIfClientsGone();
+    public void whenClientsGone(Runnable callback) {
+        clientsGoneCallback.set(callback);
+        notifyIfClientsGone();
     }
 
-    private void tellIfClientsGone() {
-        Runnable message = clientsOpen.get() == 0 ? whenClientsGone.getAndSet(null) : null;
-        if (message != null) {
-            message.run();
+    private void notifyIfClientsGone() {
+        Runnable callback = openClientConnections.get() == 0 ? clientsGoneCallback.getAndSet(null) : null;
+        if (callback != null) {
+            callback.run();
         }
     }
 
     @Override
     protected void connectionFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         IO.close(channel);
-        if (attachment instanceof DialHandler opener) {
-            afterRelease(channel, budget::release);
-            opener.onDialFailed(cause);
+        if (attachment instanceof DialHandler handler) {
+            afterRelease(channel, outgoingPermits::release);
+            handler.onDialFailed(cause);
         }
     }
 }
--- a/src/main/java/barrowshore/net/HttpLink.java
+++ b/src/main/java/barrowshore/net/HttpLink.java
@@ -22,27 +22,27 @@
  * the mailbox of the actor it belongs to. It must never resend anything, and never read further ahead than one buffer.
  */
 public abstract class HttpLink extends AbstractConnection implements HttpParser.HttpHandler {
-    private static final int READ_BUFFER = 4096;
-    private static final int HEADER_BUFFER = 2048;
+    private static final int READ_BUFFER_BYTES = 4096;
+    private static final int INITIAL_HEADER_BUFFER_BYTES = 2048;
     /** A head, of a request or an answer, is at most so long. */
     protected static final int MAX_HEADER = 16384;
     /** Bytes read and thrown away at once for a peer to get its last answer. */
-    private static final int MOST_DISCARDED = 256 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
     /**
      * A peer that floods us beyond that is read on at this pace: so many bytes, then a rest. Ended at once, its unread bytes
      * would reset the connection and eat the answer; so it is its time that is bounded.
      */
-    private static final int FLOOD_PIECE = 64 * 1024;
+    private static final int FLOOD_READ_BYTES = 64 * 1024;
 
-    private static final long FLOOD_REST = 10;
+    private static final long FLOOD_PAUSE_MILLIS = 10;
 
     protected final Mailbox mailbox;
     private final Scheduler timers;
-    private Scheduler.Task limit;
+    private Scheduler.Task timeLimit;
     /** Counts the limits set: one that ran out as the next was set must not end the connection. */
-    private int limits;
+    private int timeLimitCount;
 
-    private final ByteBuffer in = BufferUtil.allocate(READ_BUFFER);
+    private final ByteBuffer readBuffer = BufferUtil.allocate(READ_BUFFER_BYTES);
     /** Set by the subclass's constructor; it needs the subclass as its handler. */
     protected HttpParser parser;
     /** Whether the message read last leaves the connection to the next one. */
@@ -56,7 +56,7 @@
     /** Whether more came unasked than one buffer holds: it is thrown away, so that the peer's end is still seen. */
     private boolean flooded;
 
-    private int discarded;
+    private int discardedBytes;
 
     protected HttpLink(EndPoint endPoint, Mailbox mailbox, Scheduler timers) {
         super(endPoint, Runnable::run);
@@ -90,14 +90,14 @@
 
     /** Calls {@link #onTimeLimit} after so long, unless another limit or none (0) is set before. */
     protected void setTimeLimit(long millis) {
-        if (limit != null) {
-            limit.cancel();
+        if (timeLimit != null) {
+            timeLimit.cancel();
         }
-        int number = ++limits;
-        limit = millis > 0 && !closed
+        int timeLimitNumber = ++timeLimitCount;
+        timeLimit = millis > 0 && !closed
                 ? timers.schedule(
                         () -> mailbox.post(() -> {
-                            if (number == limits) {
+                            if (timeLimitNumber == timeLimitCount) {
                                 onTimeLimit();
                             }
                         }),
@@ -115,24 +115,24 @@
     protected void read() {
         try {
             while (!closed) {
-                if (!discarding && !flooded && BufferUtil.space(in) == 0 && !wantsBytes()) {
+                if (!discarding && !flooded && BufferUtil.space(readBuffer) == 0 && !wantsBytes()) {
                     flooded = discardsOverflow();
                 }
                 if (discarding || flooded) {
-                    discarded += in.remaining();
-                    BufferUtil.clear(in);
-                    if (discarded > MOST_DISCARDED + FLOOD_PIECE) {
-                        discarded = MOST_DISCARDED;
-                        timers.schedule(() -> mailbox.post(this::read), FLOOD_REST, TimeUnit.MILLISECONDS);
+                    discardedBytes += readBuffer.remaining();
+                    BufferUtil.clear(readBuffer);
+                    if (discardedBytes > MAX_DISCARDED_BYTES + FLOOD_READ_BYTES) {
+                        discardedBytes = MAX_DISCARDED_BYTES;
+                        timers.schedule(() -> mailbox.post(this::read), FLOOD_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
                         return;
                     }
                 }
                 boolean parse = !discarding && !flooded && wantsBytes();
-                if (parse && BufferUtil.hasContent(in)) {
-                    parser.parseNext(in);
+                if (parse && BufferUtil.hasContent(readBuffer)) {
+                    parser.parseNext(readBuffer);
                     continue;
                 }
-                int filled = getEndPoint().fill(in);
+                int filled = getEndPoint().fill(readBuffer);
                 if (filled < 0) {
                     if (parse) {
                         parser.atEOF();
@@ -141,7 +141,7 @@
                     end(null);
                 } else if (filled == 0) {
                     // A full buffer that nobody wants is left unread: the peer waits, as TCP has it.
-                    if ((BufferUtil.space(in) > 0 || parse) && !isFillInterested()) {
+                    if ((BufferUtil.space(readBuffer) > 0 || parse) && !isFillInterested()) {
                         fillInterested(Callback.from(
                                 Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed));
                     }
@@ -176,7 +176,7 @@
     /** Whether the peer has closed a connection that should be silent; asked just before it is written to. */
     public boolean brokenWhileIdle() {
         try {
-            return closed || !getEndPoint().isOpen() || getEndPoint().fill(in) != 0;
+            return closed || !getEndPoint().isOpen() || getEndPoint().fill(readBuffer) != 0;
         } catch (IOException e) {
             return true;
         }
@@ -184,7 +184,7 @@
 
     /** Whether bytes have come that nobody has asked for. */
     protected boolean hasUnread() {
-        return BufferUtil.hasContent(in);
+        return BufferUtil.hasContent(readBuffer);
     }
 
     /**
@@ -193,7 +193,7 @@
      */
     protected void closeGracefully(long millis) {
         discarding = true;
-        discarded = 0;
+        discardedBytes = 0;
         setTimeLimit(millis);
         getEndPoint().shutdownOutput();
         read();
@@ -228,7 +228,7 @@
      */
     protected void write(MetaData message, byte[] body, Runnable written) {
         ByteBuffer content = body.length == 0 ? null : ByteBuffer.wrap(body);
-        ByteBuffer header = header(message, content);
+        ByteBuffer header = generateHeader(message, content);
         Callback callback = Callback.from(written::run, cause -> {
             writeFailed = true;
             mailbox.post(() -> end(cause));
@@ -250,8 +250,8 @@
         getEndPoint().write(Callback.from(written::run, cause -> mailbox.post(() -> end(cause))), bytes);
     }
 
-    private static ByteBuffer header(MetaData message, ByteBuffer content) {
-        for (int size = HEADER_BUFFER; ; size *= 2) {
+    private static ByteBuffer generateHeader(MetaData message, ByteBuffer content) {
+        for (int size = INITIAL_HEADER_BUFFER_BYTES; ; size *= 2) {
             HttpGenerator generator = new HttpGenerator();
             ByteBuffer header = BufferUtil.allocate(size);
             try {
--- a/src/main/java/barrowshore/net/JsonObjectBuffer.java
+++ b/src/main/java/barrowshore/net/JsonObjectBuffer.java
@@ -11,32 +11,32 @@
  * hand on a part of an object, nor judge what is in one.
  */
 public final class JsonObjectBuffer {
-    private final int bound;
-    private byte[] held = new byte[256];
+    private final int maxObjectBytes;
+    private byte[] buffer = new byte[256];
     private int length;
     private int depth;
-    private boolean quoted, escaped;
+    private boolean inString, escaped;
 
-    public JsonObjectBuffer(int bound) {
-        this.bound = bound;
+    public JsonObjectBuffer(int maxObjectBytes) {
+        this.maxObjectBytes = maxObjectBytes;
     }
 
     /** Adds a piece; each object that it completes goes to the taker. What stands between objects must be blank. */
-    public void add(ByteBuffer piece, Consumer<String> taker) {
-        while (piece.hasRemaining()) {
-            byte b = piece.get();
+    public void add(ByteBuffer bytes, Consumer<String> consumer) {
+        while (bytes.hasRemaining()) {
+            byte b = bytes.get();
             if (depth == 0 && b != '{') {
                 if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                     throw new IllegalArgumentException("not JSON: an object was to begin at '" + (char) b + "'");
                 }
                 continue;
             }
-            hold(b);
-            step(b);
+            append(b);
+            updateNesting(b);
             if (depth == 0) {
-                String object = new String(held, 0, length, StandardCharsets.UTF_8);
+                String object = new String(buffer, 0, length, StandardCharsets.UTF_8);
                 length = 0;
-                taker.accept(object);
+                consumer.accept(object);
             }
         }
     }
@@ -46,22 +46,22 @@
         return depth > 0;
     }
 
-    private void hold(byte b) {
-        if (length == bound) {
-            throw new IllegalArgumentException("an object is longer than " + bound + " bytes");
+    private void append(byte b) {
+        if (length == maxObjectBytes) {
+            throw new IllegalArgumentException("an object is longer than " + maxObjectBytes + " bytes");
         }
-        if (length == held.length) {
-            held = Arrays.copyOf(held, Math.min(bound, 2 * length));
+        if (length == buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.min(maxObjectBytes, 2 * length));
         }
-        held[length++] = b;
+        buffer[length++] = b;
     }
 
-    private void step(byte b) {
-        if (quoted) {
-            quoted = escaped || b != '"';
+    private void updateNesting(byte b) {
+        if (inString) {
+            inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
         } else if (b == '"') {
-            quoted = true;
+            inString = true;
         } else if (b == '{' || b == '[') {
             depth++;
         } else if (b == '}' || b == ']') {
--- a/src/main/java/barrowshore/net/LineBuffer.java
+++ b/src/main/java/barrowshore/net/LineBuffer.java
@@ -10,36 +10,36 @@
  * bound, and must never hand on a part of a line.
  */
 public final class LineBuffer {
-    private final int bound;
-    private byte[] held = new byte[256];
+    private final int maxLineBytes;
+    private byte[] buffer = new byte[256];
     private int length;
 
-    public LineBuffer(int bound) {
-        this.bound = bound;
+    public LineBuffer(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
     /** Adds a piece; each line that it completes goes to the taker, without its end. */
-    public void add(ByteBuffer piece, Consumer<String> taker) {
-        while (piece.hasRemaining()) {
-            byte b = piece.get();
+    public void add(ByteBuffer bytes, Consumer<String> consumer) {
+        while (bytes.hasRemaining()) {
+            byte b = bytes.get();
             if (b == '\n') {
-                end(taker);
+                end(consumer);
             } else {
-                if (length == bound) {
-                    throw new IllegalStateException("a line is longer than " + bound + " bytes");
+                if (length == maxLineBytes) {
+                    throw new IllegalStateException("a line is longer than " + maxLineBytes + " bytes");
                 }
-                if (length == held.length) {
-                    held = Arrays.copyOf(held, Math.min(bound, 2 * length));
+                if (length == buffer.length) {
+                    buffer = Arrays.copyOf(buffer, Math.min(maxLineBytes, 2 * length));
                 }
-                held[length++] = b;
+                buffer[length++] = b;
             }
         }
     }
 
     /** What is held is a whole line, though nothing ends it: its message is complete. */
-    public void end(Consumer<String> taker) {
-        String line = new String(held, 0, length, StandardCharsets.UTF_8);
+    public void end(Consumer<String> consumer) {
+        String line = new String(buffer, 0, length, StandardCharsets.UTF_8);
         length = 0;
-        taker.accept(line);
+        consumer.accept(line);
     }
 }
--- a/src/main/java/barrowshore/net/Mailbox.java
+++ b/src/main/java/barrowshore/net/Mailbox.java
@@ -14,12 +14,12 @@
 public final class Mailbox implements Runnable {
     private static final System.Logger LOG = System.getLogger(Mailbox.class.getName());
     /** Messages run in one turn, so that a busy actor lets the others at the pool. */
-    private static final int TURN = 64;
+    private static final int MAX_MESSAGES_PER_RUN = 64;
 
     private final String name;
     private final Executor pool;
     private final ConcurrentLinkedQueue<Runnable> messages = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger pendingCount = new AtomicInteger();
 
     public Mailbox(String name, Executor pool) {
         this.name = name;
@@ -28,13 +28,13 @@
 
     public void post(Runnable message) {
         messages.add(message);
-        if (waiting.getAndIncrement() == 0) {
-            turn();
+        if (pendingCount.getAndIncrement() == 0) {
+            submitRun();
         }
     }
 
     /** A pool that has been shut down means that the whole scheduler has stopped at once, and this with it. */
-    private void turn() {
+    private void submitRun() {
         try {
             pool.execute(this);
         } catch (RejectedExecutionException e) {
@@ -44,21 +44,21 @@
 
     @Override
     public void run() {
-        int done = 0;
-        while (done < TURN) {
+        int processed = 0;
+        while (processed < MAX_MESSAGES_PER_RUN) {
             Runnable message = messages.poll();
             if (message == null) {
                 break;
             }
-            done++;
+            processed++;
             try {
                 message.run();
             } catch (Throwable e) { // guards the actor: a message that dies must not wedge the mailbox
                 LOG.log(Level.ERROR, "a message to " + name + " failed", e);
             }
         }
-        if (waiting.addAndGet(-done) > 0) {
-            turn();
+        if (pendingCount.addAndGet(-processed) > 0) {
+            submitRun();
         }
     }
 }
--- a/src/main/java/barrowshore/request/JobRequest.java
+++ b/src/main/java/barrowshore/request/JobRequest.java
@@ -31,7 +31,7 @@
     }
 
     /** The same request with its body. */
-    public JobRequest withBody(byte[] whole) {
+    public JobRequest withBody(byte[] newBody) {
         return new JobRequest(
                 id,
                 jobClass,
@@ -43,7 +43,7 @@
                 method,
                 target,
                 key,
-                whole);
+                newBody);
     }
 
     /** The final answer to a request. */
@@ -90,6 +90,6 @@
         void countTurnedAway(int jobClass);
 
         /** Answers whether requests can be served. */
-        void askReady(Consumer<Boolean> asker);
+        void askReady(Consumer<Boolean> callback);
     }
 }
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -41,22 +41,22 @@
     private static final String LOAD_HEADER = "X-Server-Load";
     private static final String NOT_PROCESSED_HEADER = "X-Not-Processed";
     /** Descriptors left to the service discovery: busy servers must not keep it from being heard. */
-    private static final int ENTRY = 2;
+    private static final int DESCRIPTORS_RESERVED_FOR_DISCOVERY = 2;
     /** Idle connections kept: only probes and what may run twice use them. */
-    private static final int MOST_IDLE = 4;
+    private static final int MAX_IDLE_CONNECTIONS = 4;
 
     private static final byte[] NO_BODY = new byte[0];
     /** How long an answer's tail may take after its last line, before the connection is given up. */
-    private static final long TAIL = 1000;
+    private static final long ANSWER_END_TIMEOUT_MILLIS = 1000;
     /** Lines and bytes of one answer: far more than a job tells of itself, and few enough to be read for nothing. */
-    private static final int MOST_LINES = 1000;
+    private static final int MAX_ANSWER_LINES = 1000;
 
-    private static final int MOST_ANSWER = 1 << 20;
+    private static final int MAX_ANSWER_BYTES = 1 << 20;
     /** A result of 64 KiB with every byte escaped, and what stands round it. */
-    private static final int LONGEST_LINE = 400 * 1024;
+    private static final int MAX_LINE_BYTES = 400 * 1024;
 
     /** More requests, or free slots, than any machine has. */
-    private static final double MOST_LOAD = 1e5;
+    private static final double MAX_LOAD_VALUE = 1e5;
 
     /** One attempt, as the module actor knows it; it gets one end. */
     public interface Attempt {
@@ -88,27 +88,33 @@
     }
 
     private final String uid;
-    private final ConnectionManager dialer;
+    private final ConnectionManager connectionManager;
     private final Scheduler timers;
     private final Mailbox mailbox;
-    private final long retireAfter;
-    private final int most;
-    private final ArrayDeque<Link> idle = new ArrayDeque<>();
-    private final Set<Link> links = new HashSet<>();
-    private final Map<Attempt, Work> works = new HashMap<>();
-    private int dialing;
+    private final long idleTimeoutMillis;
+    private final int maxConnections;
+    private final ArrayDeque<ServerConnection> idleConnections = new ArrayDeque<>();
+    private final Set<ServerConnection> connections = new HashSet<>();
+    private final Map<Attempt, Exchange> exchangesByAttempt = new HashMap<>();
+    private int pendingDials;
     private InetSocketAddress address;
     private ServerList.State state = ServerList.State.GONE;
     private long bootMicros;
 
-    public Server(String uid, Executor pool, ConnectionManager dialer, Scheduler timers, long keepAlive, int most) {
+    public Server(
+            String uid,
+            Executor pool,
+            ConnectionManager connectionManager,
+            Scheduler timers,
+            long keepAliveMicros,
+            int maxConnections) {
         this.uid = uid;
-        this.dialer = dialer;
+        this.connectionManager = connectionManager;
         this.timers = timers;
-        this.most = most;
+        this.maxConnections = maxConnections;
         // Guards against the stale-pool race: what is written to a connection that the server is closing may
         // have run, so an idle one is retired at half the time after which the server closes it.
-        this.retireAfter = Math.max(1, keepAlive / 2000);
+        this.idleTimeoutMillis = Math.max(1, keepAliveMicros / 2000);
         this.mailbox = new Mailbox("server " + uid, pool);
     }
 
@@ -117,7 +123,7 @@
         mailbox.post(() -> {
             boolean moved = entry.address() != null && !entry.address().equals(address);
             if (moved || entry.bootMicros() != bootMicros || entry.state() != ServerList.State.READY) {
-                retire();
+                retireConnections();
             }
             address = entry.address() != null ? entry.address() : address;
             bootMicros = entry.bootMicros();
@@ -129,34 +135,34 @@
     public void unlisted() {
         mailbox.post(() -> {
             state = ServerList.State.GONE;
-            retire();
+            retireConnections();
         });
     }
 
     /** Connections to a former address or life, or to one that drains, end: idle ones now, those at work after it. */
-    private void retire() {
-        links.forEach(link -> link.retired = true);
-        while (!idle.isEmpty()) {
-            idle.poll().closeNow();
+    private void retireConnections() {
+        connections.forEach(connection -> connection.retired = true);
+        while (!idleConnections.isEmpty()) {
+            idleConnections.poll().closeNow();
         }
     }
 
     public void send(Attempt attempt) {
         mailbox.post(() -> {
-            Work work = new Work(attempt, null);
-            works.put(attempt, work);
-            start(work);
+            Exchange exchange = new Exchange(attempt, null);
+            exchangesByAttempt.put(attempt, exchange);
+            startExchange(exchange);
         });
     }
 
     /** The attempt is no longer waited for; its end, if still to come, is of no interest. */
     public void abandon(Attempt attempt) {
         mailbox.post(() -> {
-            Work work = works.remove(attempt);
-            if (work != null) {
-                work.over = true;
-                if (work.link != null) {
-                    work.link.closeNow();
+            Exchange exchange = exchangesByAttempt.remove(attempt);
+            if (exchange != null) {
+                exchange.ended = true;
+                if (exchange.connection != null) {
+                    exchange.connection.closeNow();
                 }
             }
         });
@@ -165,213 +171,214 @@
     /** Nobody waits for the attempt any more: if its first byte has not gone, it does not go. */
     public void cancelIfUnsent(Attempt attempt) {
         mailbox.post(() -> {
-            Work work = works.get(attempt);
-            if (work != null && work.link == null) {
-                work.end(Status.NOT_SENT, null, null);
+            Exchange exchange = exchangesByAttempt.get(attempt);
+            if (exchange != null && exchange.connection == null) {
+                exchange.end(Status.NOT_SENT, null, null);
             }
         });
     }
 
     public void probe(long timeoutMillis, Probe probe) {
         mailbox.post(() -> {
-            Work work = new Work(null, probe);
-            work.timer = timers.schedule(
+            Exchange exchange = new Exchange(null, probe);
+            exchange.timer = timers.schedule(
                     () -> mailbox.post(() -> {
-                        if (!work.over) {
-                            work.end(Status.TIMEOUT, null, null);
-                            if (work.link != null) {
-                                work.link.closeNow();
+                        if (!exchange.ended) {
+                            exchange.end(Status.TIMEOUT, null, null);
+                            if (exchange.connection != null) {
+                                exchange.connection.closeNow();
                             }
                         }
                     }),
                     timeoutMillis,
                     TimeUnit.MILLISECONDS);
-            start(work);
+            startExchange(exchange);
         });
     }
 
-    private void start(Work work) {
+    private void startExchange(Exchange exchange) {
         // Guards what must not run twice: a kept connection may be reset just as it is written to, which proves nothing
         // and fails the request. A fresh one that does not come up proves that it never ran.
-        Link link = work.mayReuse() ? idle.pollLast() : null;
-        if (link != null) {
-            link.reserve(work);
+        ServerConnection connection = exchange.mayReuseConnection() ? idleConnections.pollLast() : null;
+        if (connection != null) {
+            connection.reserve(exchange);
             return;
         }
         if (address == null) {
-            work.end(Status.CONNECT_FAILED, null, null);
+            exchange.end(Status.CONNECT_FAILED, null, null);
             return;
         }
-        if (links.size() + dialing >= most) {
-            work.end(Status.NOT_SENT, null, null); // shed before descriptors run out; it has not been sent
+        if (connections.size() + pendingDials >= maxConnections) {
+            exchange.end(Status.NOT_SENT, null, null); // shed before descriptors run out; it has not been sent
             return;
         }
-        dialing++;
-        boolean started = dialer.dial(address, ENTRY, new ConnectionManager.DialHandler() {
-            @Override
-            public Connection apply(EndPoint endPoint) {
-                return new Link(endPoint, work);
-            }
-
-            @Override
-            public void onDialFailed(Throwable cause) {
-                mailbox.post(() -> {
-                    dialing--;
-                    work.end(Status.CONNECT_FAILED, null, null);
+        pendingDials++;
+        boolean started = connectionManager.dial(
+                address, DESCRIPTORS_RESERVED_FOR_DISCOVERY, new ConnectionManager.DialHandler() {
+                    @Override
+                    public Connection apply(EndPoint endPoint) {
+                        return new ServerConnection(endPoint, exchange);
+                    }
+
+                    @Override
+                    public void onDialFailed(Throwable cause) {
+                        mailbox.post(() -> {
+                            pendingDials--;
+                            exchange.end(Status.CONNECT_FAILED, null, null);
+                        });
+                    }
                 });
-            }
-        });
         if (!started) {
-            dialing--;
-            work.end(Status.NOT_SENT, null, null);
+            pendingDials--;
+            exchange.end(Status.NOT_SENT, null, null);
         }
     }
 
     /** What a connection carries: an attempt or a probe, and whether its one end has been told. */
-    private final class Work {
+    private final class Exchange {
         final Attempt attempt;
         final Probe probe;
         Scheduler.Task timer;
-        Link link;
-        boolean over;
+        ServerConnection connection;
+        boolean ended;
         /**
          * Whether the last byte has been written. Set by the writer itself, the one thing here that does not come by
          * the mailbox: it once did, and a reset read in the same turn as the write overtook it, so that a request
          * written whole was reported as never run.
          */
-        volatile boolean written;
+        volatile boolean fullyWritten;
         /** Whether a part of it was left for another thread to write: then nothing but a failed write proves anything. */
-        boolean partly;
+        boolean writePending;
 
-        Work(Attempt attempt, Probe probe) {
+        Exchange(Attempt attempt, Probe probe) {
             this.attempt = attempt;
             this.probe = probe;
         }
 
-        boolean mayReuse() {
+        boolean mayReuseConnection() {
             return probe != null || attempt.request().repeatable();
         }
 
         void end(Status status, Load load, byte[] result) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             if (probe != null) {
                 timer.cancel();
                 probe.ended(status, load);
             } else {
-                works.remove(attempt);
+                exchangesByAttempt.remove(attempt);
                 attempt.ended(status, load, result);
             }
         }
     }
 
     /** A load report; what it does not tell is NaN, what is no report is null. */
-    static Load load(Object json) {
+    static Load parseLoad(Object json) {
         return json instanceof Map<?, ?> map && !map.isEmpty()
-                ? new Load(number(map, "inflight"), number(map, "queue"), number(map, "x0"))
+                ? new Load(loadValue(map, "inflight"), loadValue(map, "queue"), loadValue(map, "x0"))
                 : null;
     }
 
     /** A figure that no machine can have is none: it must not poison what is learned. */
-    private static double number(Map<?, ?> map, String name) {
+    private static double loadValue(Map<?, ?> map, String name) {
         double value = map.get(name) instanceof Number n ? n.doubleValue() : Double.NaN;
-        return value >= 0 && value <= MOST_LOAD ? value : Double.NaN;
+        return value >= 0 && value <= MAX_LOAD_VALUE ? value : Double.NaN;
     }
 
     /** One connection: idle, or carrying one piece of work. */
-    private final class Link extends HttpLink implements HttpParser.ResponseHandler {
-        private Work work;
+    private final class ServerConnection extends HttpLink implements HttpParser.ResponseHandler {
+        private Exchange exchange;
         /** What it will carry unless something ends first, while is looked whether the client is still there. */
-        private Work reserved;
+        private Exchange reservedFor;
         /** Whether it has stood idle. */
-        private boolean kept;
+        private boolean wasIdle;
 
-        private LineBuffer lines;
-        private StringBuilder body;
+        private LineBuffer lineBuffer;
+        private StringBuilder answerBody;
         private boolean retired;
         /** Whether an earlier piece of work was carried here: then what comes may be a late answer to that. */
-        private boolean used;
+        private boolean usedBefore;
 
         private int linesRead, bytesRead;
-        private int status;
+        private int statusCode;
         private boolean notProcessed;
-        private Load load;
+        private Load headerLoad;
 
-        Link(EndPoint endPoint, Work first) {
+        ServerConnection(EndPoint endPoint, Exchange first) {
             super(endPoint, Server.this.mailbox, timers);
-            this.work = first;
+            this.exchange = first;
             parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEADER);
         }
 
         @Override
         protected void onConnected() {
-            dialing--;
-            links.add(this);
-            Work first = work;
-            work = null;
+            pendingDials--;
+            connections.add(this);
+            Exchange first = exchange;
+            exchange = null;
             reserve(first);
         }
 
         /** The connection is the work's, whose client is asked after once more: its turn may have been long in coming. */
-        void reserve(Work next) {
-            reserved = next;
+        void reserve(Exchange next) {
+            reservedFor = next;
             setTimeLimit(0);
             if (next.attempt == null) {
-                begin(next);
+                beginExchange(next);
             } else {
-                next.attempt.checkClient(() -> mailbox.post(() -> begin(next)));
+                next.attempt.checkClient(() -> mailbox.post(() -> beginExchange(next)));
             }
         }
 
-        private void begin(Work next) {
-            if (reserved != next) {
+        private void beginExchange(Exchange next) {
+            if (reservedFor != next) {
                 return; // the connection has ended meanwhile
             }
-            reserved = null;
-            boolean fresh = !kept;
-            if (next.over || !mayBegin(next)) {
+            reservedFor = null;
+            boolean newConnection = !wasIdle;
+            if (next.ended || !mayBegin(next)) {
                 next.end(Status.NOT_SENT, null, null); // our reason: it says nothing of the server
-                rest(); // the next attempt can have it
-            } else if (kept && (retired || brokenWhileIdle())) {
+                returnToPool(); // the next attempt can have it
+            } else if (wasIdle && (retired || brokenWhileIdle())) {
                 closeNow();
-                start(next);
+                startExchange(next);
             } else {
-                carry(next);
+                sendRequest(next);
             }
-            if (fresh) {
+            if (newConnection) {
                 read();
             }
         }
 
         /** Guards the drain rule: connecting took time, so the state is looked at again as the first byte goes. */
-        private boolean mayBegin(Work next) {
+        private boolean mayBegin(Exchange next) {
             return state == ServerList.State.READY && (next.attempt == null || next.attempt.mayBegin());
         }
 
-        private void rest() {
+        private void returnToPool() {
             if (retired || state != ServerList.State.READY || hasUnread()) {
                 closeNow();
                 return;
             }
-            kept = true;
-            setTimeLimit(retireAfter);
-            idle.addLast(this);
-            if (idle.size() > MOST_IDLE) {
-                idle.pollFirst().closeNow();
+            wasIdle = true;
+            setTimeLimit(idleTimeoutMillis);
+            idleConnections.addLast(this);
+            if (idleConnections.size() > MAX_IDLE_CONNECTIONS) {
+                idleConnections.pollFirst().closeNow();
             }
         }
 
-        private void carry(Work next) {
+        private void sendRequest(Exchange next) {
             Attempt attempt = next.attempt;
-            work = next;
-            next.link = this;
+            exchange = next;
+            next.connection = this;
             notProcessed = false;
-            status = 0;
-            load = null;
-            lines = null;
-            body = null;
+            statusCode = 0;
+            headerLoad = null;
+            lineBuffer = null;
+            answerBody = null;
             persistent = true;
             linesRead = 0;
             bytesRead = 0;
@@ -382,7 +389,7 @@
                 write(
                         new MetaData.Request("GET", HttpURI.from("/-/load"), HttpVersion.HTTP_1_1, fields, 0),
                         NO_BODY,
-                        () -> next.written = true);
+                        () -> next.fullyWritten = true);
                 return;
             }
             JobRequest request = attempt.request();
@@ -400,20 +407,20 @@
                             request.body().length),
                     request.body(),
                     () -> {
-                        next.written = true;
+                        next.fullyWritten = true;
                         attempt.requestWritten();
                     });
-            next.partly = !next.written && !hasWriteFailed();
+            next.writePending = !next.fullyWritten && !hasWriteFailed();
         }
 
         @Override
         protected boolean wantsBytes() {
-            return work != null;
+            return exchange != null;
         }
 
         @Override
         protected void read() {
-            if (work == null && !isClosed() && brokenWhileIdle()) {
+            if (exchange == null && !isClosed() && brokenWhileIdle()) {
                 closeNow(); // bytes or an end where nothing was asked: notice it at once
                 return;
             }
@@ -422,7 +429,7 @@
 
         @Override
         public void startResponse(HttpVersion version, int code, String reason) {
-            status = code;
+            statusCode = code;
             persistent = version == HttpVersion.HTTP_1_1;
         }
 
@@ -432,23 +439,23 @@
             if (field.is(NOT_PROCESSED_HEADER)) {
                 notProcessed = "1".equals(field.getValue());
             } else if (field.is(LOAD_HEADER)) {
-                load = load(Json.parseOrNull(field.getValue()));
+                headerLoad = parseLoad(Json.parseOrNull(field.getValue()));
             }
         }
 
         @Override
         public boolean headerComplete() {
-            if (status < 200) {
+            if (statusCode < 200) {
                 return false; // an interim answer: the answer is still to come
             }
-            if (work.attempt != null && status == 200) {
-                lines = new LineBuffer(LONGEST_LINE);
+            if (exchange.attempt != null && statusCode == 200) {
+                lineBuffer = new LineBuffer(MAX_LINE_BYTES);
             } else {
-                body = new StringBuilder();
-                if (work.attempt != null && !neverRan()) {
-                    last(Status.ERROR, load, null); // its body, which may never end, says nothing more
+                answerBody = new StringBuilder();
+                if (exchange.attempt != null && !provesJobDidNotRun()) {
+                    endExchange(Status.ERROR, headerLoad, null); // its body, which may never end, says nothing more
                 } else {
-                    setTimeLimit(TAIL);
+                    setTimeLimit(ANSWER_END_TIMEOUT_MILLIS);
                 }
             }
             return false;
@@ -458,83 +465,88 @@
          * Whether the answer says, and proves, that the job did not run. On a connection that was used before, it may be a
          * second answer to the job before, which proves nothing where repeats do harm.
          */
-        private boolean neverRan() {
+        private boolean provesJobDidNotRun() {
             return notProcessed
-                    && (status == 503 || status == 504)
-                    && (!used || work.attempt.request().repeatWindowMicros() == JobRequest.NO_REPEAT_LIMIT);
+                    && (statusCode == 503 || statusCode == 504)
+                    && (!usedBefore || exchange.attempt.request().repeatWindowMicros() == JobRequest.NO_REPEAT_LIMIT);
         }
 
         @Override
         public boolean content(ByteBuffer bytes) {
             bytesRead += bytes.remaining();
-            if (bytesRead > MOST_ANSWER) {
-                throw new IllegalStateException("an answer is longer than " + MOST_ANSWER + " bytes");
+            if (bytesRead > MAX_ANSWER_BYTES) {
+                throw new IllegalStateException("an answer is longer than " + MAX_ANSWER_BYTES + " bytes");
             }
-            if (lines != null) {
-                lines.add(bytes, this::line);
-            } else if (body.length() < LONGEST_LINE) {
-                body.append(StandardCharsets.UTF_8.decode(bytes));
+            if (lineBuffer != null) {
+                lineBuffer.add(bytes, this::handleLine);
+            } else if (answerBody.length() < MAX_LINE_BYTES) {
+                answerBody.append(StandardCharsets.UTF_8.decode(bytes));
             }
             return false;
         }
 
-        private void line(String text) {
-            if (++linesRead > MOST_LINES) {
-                throw new IllegalStateException("an answer has over " + MOST_LINES + " lines");
+        private void handleLine(String line) {
+            if (++linesRead > MAX_ANSWER_LINES) {
+                throw new IllegalStateException("an answer has over " + MAX_ANSWER_LINES + " lines");
             }
-            if (text.isBlank() || work.over) {
+            if (line.isBlank() || exchange.ended) {
                 return;
             }
-            if (!(Json.parseOrNull(text) instanceof Map<?, ?> map)
-                    || !work.attempt.request().id().equals(map.get("id"))) {
+            if (!(Json.parseOrNull(line) instanceof Map<?, ?> map)
+                    || !exchange.attempt.request().id().equals(map.get("id"))) {
                 // Not an answer to this request: nothing on this connection can be trusted any more. It is closed
                 // before its end
                 // is told, as by any exception here: a repeat that overtook the close would be a second copy.
                 throw new IllegalStateException("an answer to another request");
             }
-            Load told = load(map.get("load"));
+            Load reportedLoad = parseLoad(map.get("load"));
             switch (String.valueOf(map.get("state"))) {
-                case "started" -> work.attempt.noteReceived(Note.STARTED, 0);
-                case "running" -> work.attempt.noteReceived(
+                case "started" -> exchange.attempt.noteReceived(Note.STARTED, 0);
+                case "running" -> exchange.attempt.noteReceived(
                         Note.PROGRESS, map.get("share") instanceof Number n ? n.doubleValue() : 0);
-                case "done" -> last(
-                        Status.OK, told, String.valueOf(map.get("result")).getBytes(StandardCharsets.UTF_8));
-                case "failed" -> last(Status.ERROR, told, null);
-                case "returned" -> last(Status.FULL, told, null);
-                case "lost" -> last(Status.RESET, told, null);
+                case "done" -> endExchange(
+                        Status.OK,
+                        reportedLoad,
+                        String.valueOf(map.get("result")).getBytes(StandardCharsets.UTF_8));
+                case "failed" -> endExchange(Status.ERROR, reportedLoad, null);
+                case "returned" -> endExchange(Status.FULL, reportedLoad, null);
+                case "lost" -> endExchange(Status.RESET, reportedLoad, null);
                 default -> {}
             }
         }
 
-        private void last(Status end, Load told, byte[] result) {
-            work.end(end, told, result);
-            setTimeLimit(TAIL);
+        private void endExchange(Status endStatus, Load reportedLoad, byte[] result) {
+            exchange.end(endStatus, reportedLoad, result);
+            setTimeLimit(ANSWER_END_TIMEOUT_MILLIS);
         }
 
         @Override
         public boolean messageComplete() {
-            if (status < 200) {
-                if (++linesRead > MOST_LINES) {
-                    throw new IllegalStateException("over " + MOST_LINES + " interim answers");
+            if (statusCode < 200) {
+                if (++linesRead > MAX_ANSWER_LINES) {
+                    throw new IllegalStateException("over " + MAX_ANSWER_LINES + " interim answers");
                 }
                 parser.reset();
                 return true;
             }
-            if (lines != null) {
+            if (lineBuffer != null) {
                 // A stream without a last line is a reset: the job may have run.
-                work.end(Status.RESET, load, null);
-            } else if (work.probe != null) {
-                Load told = load(Json.parseOrNull(body.toString()));
-                work.end(status == 200 ? Status.OK : Status.ERROR, told != null ? told : load, null);
+                exchange.end(Status.RESET, headerLoad, null);
+            } else if (exchange.probe != null) {
+                Load reportedLoad = parseLoad(Json.parseOrNull(answerBody.toString()));
+                exchange.end(
+                        statusCode == 200 ? Status.OK : Status.ERROR,
+                        reportedLoad != null ? reportedLoad : headerLoad,
+                        null);
             } else {
-                work.end(neverRan() ? Status.FULL : Status.ERROR, load, null);
+                exchange.end(provesJobDidNotRun() ? Status.FULL : Status.ERROR, headerLoad, null);
             }
-            boolean reusable = persistent && work.written;
-            used = true;
-            work = null;
+            boolean reusable = persistent && exchange.fullyWritten;
+            usedBefore = true;
+            exchange = null;
             parser.reset();
             if (reusable) {
-                rest();
+                returnToPool();
             } else {
                 closeNow();
             }
@@ -543,24 +555,26 @@
 
         @Override
         protected void onEnd(Throwable cause) {
-            links.remove(this);
-            idle.remove(this);
-            if (reserved != null) {
-                Work next = reserved;
-                reserved = null;
-                if (kept && !next.over) {
-                    start(next); // nothing of it was written here
+            connections.remove(this);
+            idleConnections.remove(this);
+            if (reservedFor != null) {
+                Exchange next = reservedFor;
+                reservedFor = null;
+                if (wasIdle && !next.ended) {
+                    startExchange(next); // nothing of it was written here
                 } else {
                     next.end(Status.CONNECT_FAILED, null, null);
                 }
             }
-            if (work != null) {
+            if (exchange != null) {
                 // Only a request whose last byte was not written is known not to have run.
-                work.end(
-                        work.written || work.partly && !hasWriteFailed() ? Status.RESET : Status.CONNECT_FAILED,
+                exchange.end(
+                        exchange.fullyWritten || exchange.writePending && !hasWriteFailed()
+                                ? Status.RESET
+                                : Status.CONNECT_FAILED,
                         null,
                         null);
-                work = null;
+                exchange = null;
             }
         }
     }
--- a/src/test/java/barrowshore/net/ClockTest.java
+++ b/src/test/java/barrowshore/net/ClockTest.java
@@ -8,7 +8,7 @@
 /** The scheduler's one clock. */
 class ClockTest {
     @Test
-    void theClockIsAnchoredOnce() {
+    void wallClockIsReadOnlyOnce() {
         AtomicLong nanos = new AtomicLong(-5_000);
         Clock clock = new Clock(1_700_000_000_000L, nanos::get);
         nanos.addAndGet(2_500_000);
--- a/src/test/java/barrowshore/net/ConnectionManagerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -40,28 +40,28 @@
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ConnectionManagerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final int THREADS = 4;
+    private static final int POOL_THREADS = 4;
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
-    private final GivenTimers timers = new GivenTimers();
+    private final ExecutorService pool = Executors.newFixedThreadPool(POOL_THREADS);
+    private final ManualTimers timers = new ManualTimers();
     /** What holds the selector waits for this. */
-    private final CountDownLatch free = new CountDownLatch(1);
+    private final CountDownLatch selectorReleased = new CountDownLatch(1);
 
-    private ConnectionManager dialer;
+    private ConnectionManager connectionManager;
 
     /** Timers that run only when the test says so, those of up to a second, in the order in which they were set. */
-    private static final class GivenTimers extends AbstractLifeCycle implements Scheduler {
-        private final Queue<Runnable> set = new ArrayDeque<>();
+    private static final class ManualTimers extends AbstractLifeCycle implements Scheduler {
+        private final Queue<Runnable> pending = new ArrayDeque<>();
 
         @Override
         public synchronized Task schedule(Runnable run, long delay, TimeUnit unit) {
             if (unit.toMillis(delay) > 1000) {
                 return () -> true;
             }
-            set.add(run);
+            pending.add(run);
             return () -> {
                 synchronized (this) {
-                    return set.remove(run);
+                    return pending.remove(run);
                 }
             };
         }
@@ -69,16 +69,16 @@
         void runAll() {
             List<Runnable> due;
             synchronized (this) {
-                due = new ArrayList<>(set);
-                set.clear();
+                due = new ArrayList<>(pending);
+                pending.clear();
             }
             due.forEach(Runnable::run);
         }
     }
 
     /** A connection that does nothing. */
-    private static final class Still extends AbstractConnection {
-        Still(EndPoint endPoint) {
+    private static final class IdleConnection extends AbstractConnection {
+        IdleConnection(EndPoint endPoint) {
             super(endPoint, Runnable::run);
         }
 
@@ -87,8 +87,9 @@
     }
 
     /** The same on a client's connection. */
-    private static final class StillClient extends AbstractConnection implements ConnectionManager.AcceptedConnection {
-        StillClient(EndPoint endPoint) {
+    private static final class IdleClientConnection extends AbstractConnection
+            implements ConnectionManager.AcceptedConnection {
+        IdleClientConnection(EndPoint endPoint) {
             super(endPoint, Runnable::run);
         }
 
@@ -97,48 +98,48 @@
     }
 
     /** Says what became of a dial. */
-    private static final class Asker implements ConnectionManager.DialHandler {
-        final CompletableFuture<EndPoint> up = new CompletableFuture<>();
-        private final boolean breaks;
+    private static final class RecordingDialHandler implements ConnectionManager.DialHandler {
+        final CompletableFuture<EndPoint> result = new CompletableFuture<>();
+        private final boolean throwsOnConnect;
 
-        Asker(boolean breaks) {
-            this.breaks = breaks;
+        RecordingDialHandler(boolean throwsOnConnect) {
+            this.throwsOnConnect = throwsOnConnect;
         }
 
         @Override
         public Connection apply(EndPoint endPoint) {
-            if (breaks) {
+            if (throwsOnConnect) {
                 throw new IllegalStateException("broken on purpose");
             }
-            up.complete(endPoint);
-            return new Still(endPoint);
+            result.complete(endPoint);
+            return new IdleConnection(endPoint);
         }
 
         @Override
         public void onDialFailed(Throwable cause) {
-            up.completeExceptionally(cause);
+            result.completeExceptionally(cause);
         }
     }
 
     private void start(int outgoing, int clients, Function<EndPoint, Connection> accepted) throws Exception {
-        dialer = new ConnectionManager(pool, timers, outgoing, clients, 250, accepted);
-        dialer.start();
+        connectionManager = new ConnectionManager(pool, timers, outgoing, clients, 250, accepted);
+        connectionManager.start();
     }
 
     @AfterEach
     void stop() {
-        free.countDown();
-        LifeCycle.stop(dialer);
+        selectorReleased.countDown();
+        LifeCycle.stop(connectionManager);
         pool.shutdownNow();
     }
 
     /** A socket that is closed resets all that wait in its queue, and what they have sent is lost without a word. */
     @Test
-    void whoWaitsIsTakenInBeforeTheSocketIsClosed() throws Exception {
+    void queuedConnectionsAreAcceptedBeforeListeningSocketCloses() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
         start(1, 10, endPoint -> {
             in.add(endPoint);
-            return new StillClient(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         List<Socket> waiting = new ArrayList<>();
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
@@ -148,7 +149,7 @@
                 waiting.add(new Socket(LOOPBACK, server.socket().getLocalPort()));
             }
             CountDownLatch ended = new CountDownLatch(1);
-            dialer.stopListening(server, ended::countDown);
+            connectionManager.stopListening(server, ended::countDown);
             ended.await();
             assertThat(server.isOpen()).isFalse();
             for (int k = 0; k < 3; k++) {
@@ -168,24 +169,24 @@
 
     /** Above the clients' part those that wait are taken in one after the other, as others end. */
     @Test
-    void whoWaitsForADescriptorIsTakenInToo() throws Exception {
+    void connectionsAwaitingAPermitAreAcceptedToo() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
             in.add(endPoint);
-            return new StillClient(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort());
                     Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
                 EndPoint served = in.take();
                 CountDownLatch ended = new CountDownLatch(1);
-                dialer.stopListening(server, ended::countDown);
+                connectionManager.stopListening(server, ended::countDown);
                 served.close();
                 // Sweeps are counted: none may pass before the descriptor is back.
-                letThePoolFinish();
-                letTheSelectorFinish();
+                awaitPoolIdle();
+                awaitTwoSelections();
                 EndPoint next = in.poll();
                 while (next == null) {
                     timers.runAll();
@@ -204,7 +205,7 @@
     }
 
     @Test
-    void aConnectionThatCannotBeTakenInGivesItsDescriptorBack() throws Exception {
+    void failedAcceptReturnsItsPermit() throws Exception {
         AtomicInteger made = new AtomicInteger();
         CompletableFuture<EndPoint> second = new CompletableFuture<>();
         start(1, 1, endPoint -> {
@@ -212,14 +213,14 @@
                 throw new IllegalStateException("broken on purpose");
             }
             second.complete(endPoint);
-            return new StillClient(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket one = new Socket(LOOPBACK, server.socket().getLocalPort());
                     Socket two = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                assertThat(ended(one)).isTrue();
+                assertThat(isEnded(one)).isTrue();
                 assertThat(second.get().isOpen()).isTrue();
                 assertThat(two.isConnected()).isTrue();
             }
@@ -228,14 +229,14 @@
 
     /** Whoever dialed hears of it, or waits for ever: discovery would be asked no more. */
     @Test
-    void aDialThatIsUpAtOnceAndBreaksIsHeardOf() throws Exception {
-        start(1, 1, StillClient::new);
+    void failureOfImmediatelyConnectedDialIsReported() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
-            Asker broken = new Asker(true);
+            RecordingDialHandler broken = new RecordingDialHandler(true);
             SocketChannel channel = SocketChannel.open(server.getLocalSocketAddress());
             channel.configureBlocking(false);
-            dialer.accept(channel, broken); // as where the connect came up within the call
-            assertThat(broken.up.handle((up, cause) -> cause.getMessage()).get())
+            connectionManager.accept(channel, broken); // as where the connect came up within the call
+            assertThat(broken.result.handle((up, cause) -> cause.getMessage()).get())
                     .isEqualTo("broken on purpose");
         }
     }
@@ -245,17 +246,17 @@
      * up: discovery was then taken for silent, and a list from before for the present one.
      */
     @Test
-    void whatIsUpIsNotTakenForNeverUp() throws Exception {
-        start(1, 1, StillClient::new);
+    void establishedConnectionIsNotTimedOut() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
             holdSelector();
-            Asker asker = new Asker(false);
-            assertThat(dialer.dial((InetSocketAddress) server.getLocalSocketAddress(), 0, asker))
+            RecordingDialHandler asker = new RecordingDialHandler(false);
+            assertThat(connectionManager.dial((InetSocketAddress) server.getLocalSocketAddress(), 0, asker))
                     .isTrue();
             try (Socket accepted = server.accept()) {
                 timers.runAll();
-                free.countDown();
-                assertThat(asker.up.get().isOpen()).isTrue();
+                selectorReleased.countDown();
+                assertThat(asker.result.get().isOpen()).isTrue();
                 assertThat(accepted.isConnected()).isTrue();
             }
         }
@@ -263,8 +264,8 @@
 
     /** And what never comes up is given up when its time is over, and its descriptor can be had again. */
     @Test
-    void whatNeverComesUpIsGivenUp() throws Exception {
-        start(1, 1, StillClient::new);
+    void connectTimeoutFailsTheDial() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket full = new ServerSocket(0, 1, LOOPBACK)) {
             List<SocketChannel> queue = new ArrayList<>();
             try {
@@ -276,11 +277,13 @@
                     queue.add(last);
                     last.connect(full.getLocalSocketAddress());
                 }
-                Asker asker = new Asker(false);
-                assertThat(dialer.dial((InetSocketAddress) full.getLocalSocketAddress(), 0, asker))
+                RecordingDialHandler asker = new RecordingDialHandler(false);
+                assertThat(connectionManager.dial((InetSocketAddress) full.getLocalSocketAddress(), 0, asker))
                         .isTrue();
                 timers.runAll();
-                assertThat(asker.up.handle((up, cause) -> cause.getMessage()).get())
+                assertThat(asker.result
+                                .handle((up, cause) -> cause.getMessage())
+                                .get())
                         .isEqualTo("not up in 250 ms");
             } finally {
                 for (SocketChannel channel : queue) {
@@ -295,24 +298,25 @@
      * that would be one more than the limit allows.
      */
     @Test
-    void aDialTakesThePlaceOfAClosedOneOnlyOnceItsDescriptorIsReleased() throws Exception {
-        start(1, 1, StillClient::new);
+    void dialWaitsForReleaseOfClosedDescriptor() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            Asker first = new Asker(false);
-            assertThat(dialer.dial(address, 0, first)).isTrue();
-            EndPoint up = first.up.get();
+            RecordingDialHandler first = new RecordingDialHandler(false);
+            assertThat(connectionManager.dial(address, 0, first)).isTrue();
+            EndPoint up = first.result.get();
             try (Socket accepted = server.accept()) {
                 holdSelector();
                 up.close();
-                letThePoolFinish();
-                assertThat(dialer.dial(address, 0, new Asker(false))).isFalse();
-                free.countDown();
-                Asker second = new Asker(false);
-                while (!dialer.dial(address, 0, second)) {
+                awaitPoolIdle();
+                assertThat(connectionManager.dial(address, 0, new RecordingDialHandler(false)))
+                        .isFalse();
+                selectorReleased.countDown();
+                RecordingDialHandler second = new RecordingDialHandler(false);
+                while (!connectionManager.dial(address, 0, second)) {
                     Thread.onSpinWait();
                 }
-                assertThat(second.up.get().isOpen()).isTrue();
+                assertThat(second.result.get().isOpen()).isTrue();
                 assertThat(accepted.isConnected()).isTrue();
             }
         }
@@ -320,23 +324,23 @@
 
     /** One round of accepts may take long, and in it no closed channel's descriptor is released. */
     @Test
-    void aClientTakesThePlaceOfAClosedOneOnlyOnceItsDescriptorIsReleased() throws Exception {
+    void acceptWaitsForReleaseOfClosedDescriptor() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
             in.add(endPoint);
-            return new StillClient(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort())) {
                 EndPoint served = in.take();
                 holdSelector();
                 try (Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
                     served.close();
-                    letThePoolFinish();
-                    assertThat(dialer.doAccept(server)).isNull();
-                    free.countDown();
+                    awaitPoolIdle();
+                    assertThat(connectionManager.doAccept(server)).isNull();
+                    selectorReleased.countDown();
                     assertThat(in.take().isOpen()).isTrue();
                     assertThat(first.getInputStream().read()).isEqualTo(-1);
                     assertThat(second.isConnected()).isTrue();
@@ -347,13 +351,13 @@
 
     /** A dial that failed after its channel was known to the selector holds its descriptor as long. */
     @Test
-    void aFailedDialGivesItsPermitBackOnlyOnceItsDescriptorIsReleased() throws Exception {
-        start(1, 1, StillClient::new);
+    void failedDialReturnsPermitOnlyAfterDescriptorRelease() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
             CountDownLatch opening = new CountDownLatch(1), fails = new CountDownLatch(1);
             CompletableFuture<Throwable> failed = new CompletableFuture<>();
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            assertThat(dialer.dial(address, 0, new ConnectionManager.DialHandler() {
+            assertThat(connectionManager.dial(address, 0, new ConnectionManager.DialHandler() {
                         @Override
                         public Connection apply(EndPoint endPoint) {
                             opening.countDown();
@@ -371,33 +375,34 @@
             holdSelector();
             fails.countDown();
             assertThat(failed.get()).hasMessage("broken on purpose");
-            assertThat(dialer.dial(address, 0, new Asker(false))).isFalse();
-            free.countDown();
-            Asker second = new Asker(false);
-            while (!dialer.dial(address, 0, second)) {
+            assertThat(connectionManager.dial(address, 0, new RecordingDialHandler(false)))
+                    .isFalse();
+            selectorReleased.countDown();
+            RecordingDialHandler second = new RecordingDialHandler(false);
+            while (!connectionManager.dial(address, 0, second)) {
                 Thread.onSpinWait();
             }
-            assertThat(second.up.get().isOpen()).isTrue();
+            assertThat(second.result.get().isOpen()).isTrue();
         }
     }
 
     /** A selector that keeps looking for connections that it may not accept never rests. */
     @Test
-    void nothingIsLookedForWhileAllDescriptorsOfClientsAreInUse() throws Exception {
+    void acceptInterestIsOffWhileClientPermitsAreExhausted() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
             in.add(endPoint);
-            return new StillClient(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort())) {
                 EndPoint served = in.take();
                 try (Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                    letTheSelectorFinish();
-                    SelectionKey key =
-                            server.keyFor(dialer.getBean(ManagedSelector.class).getSelector());
+                    awaitTwoSelections();
+                    SelectionKey key = server.keyFor(
+                            connectionManager.getBean(ManagedSelector.class).getSelector());
                     assertThat(key.interestOps()).isZero();
                     served.close();
                     assertThat(in.take().isOpen())
@@ -410,29 +415,29 @@
         }
     }
 
-    /** Holds the selector's thread, which is one of the pool's, between two selections until {@link #free} is down. */
+    /** Holds the selector's thread, which is one of the pool's, between two selections until {@link #selectorReleased} is down. */
     private void holdSelector() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
-        dialer.getBean(ManagedSelector.class).submit(keys -> {
+        connectionManager.getBean(ManagedSelector.class).submit(keys -> {
             held.countDown();
-            await(free);
+            await(selectorReleased);
         });
         held.await();
     }
 
     /** Returns once the selector has been through two selections and what it was to do between them. */
-    private void letTheSelectorFinish() throws InterruptedException {
+    private void awaitTwoSelections() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        ManagedSelector selector = dialer.getBean(ManagedSelector.class);
+        ManagedSelector selector = connectionManager.getBean(ManagedSelector.class);
         selector.submit(first -> selector.submit(second -> selector.submit(third -> done.countDown())));
         done.await();
     }
 
     /** Returns once all that was given to the pool has run, but for the selector's thread. */
-    private void letThePoolFinish() throws Exception {
-        CyclicBarrier all = new CyclicBarrier(THREADS - 1);
+    private void awaitPoolIdle() throws Exception {
+        CyclicBarrier all = new CyclicBarrier(POOL_THREADS - 1);
         List<Future<Integer>> met = new ArrayList<>();
-        for (int k = 0; k < THREADS - 1; k++) {
+        for (int k = 0; k < POOL_THREADS - 1; k++) {
             met.add(pool.submit(() -> all.await()));
         }
         for (Future<Integer> each : met) {
@@ -440,7 +445,7 @@
         }
     }
 
-    private static boolean ended(Socket socket) {
+    private static boolean isEnded(Socket socket) {
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException e) {
--- a/src/test/java/barrowshore/net/HeldSelector.java
+++ b/src/test/java/barrowshore/net/HeldSelector.java
@@ -5,7 +5,7 @@
 
 /** Holds a dialer's selector: what happens to its connections meanwhile is known to the kernel, but not to the program. */
 public final class HeldSelector implements AutoCloseable {
-    private final CountDownLatch free = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
 
     /** Returns once the selector is held. */
     public HeldSelector(ConnectionManager dialer) throws InterruptedException {
@@ -13,7 +13,7 @@
         dialer.getBean(ManagedSelector.class).submit(keys -> {
             held.countDown();
             try {
-                free.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -23,7 +23,7 @@
 
     /** Lets it go on; may be called again. */
     public void release() {
-        free.countDown();
+        released.countDown();
     }
 
     @Override
--- a/src/test/java/barrowshore/net/ManualTime.java
+++ b/src/test/java/barrowshore/net/ManualTime.java
@@ -7,20 +7,20 @@
 
 /** Time that moves only when told; timers run in the mover's thread. */
 public final class ManualTime extends AbstractLifeCycle implements Scheduler {
-    private record Entry(long at, long order, Runnable run) {}
+    private record Timer(long dueNanos, long order, Runnable run) {}
 
-    private final PriorityQueue<Entry> entries =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>(
+            (a, b) -> a.dueNanos != b.dueNanos ? Long.compare(a.dueNanos, b.dueNanos) : Long.compare(a.order, b.order));
     private long nanos;
-    private long order;
+    private long scheduledCount;
 
     @Override
     public synchronized Task schedule(Runnable run, long delay, TimeUnit unit) {
-        Entry entry = new Entry(nanos + unit.toNanos(delay), order++, run);
-        entries.add(entry);
+        Timer entry = new Timer(nanos + unit.toNanos(delay), scheduledCount++, run);
+        timers.add(entry);
         return () -> {
             synchronized (this) {
-                return entries.remove(entry);
+                return timers.remove(entry);
             }
         };
     }
@@ -35,21 +35,21 @@
 
     /** How many timers have been set so far. */
     public synchronized long scheduled() {
-        return order;
+        return scheduledCount;
     }
 
     /** Moves time on; what is due by then runs at its own time. */
     public void advance(long millis) {
         long until = nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
-        for (Entry due = next(until); due != null; due = next(until)) {
+        for (Timer due = pollDue(until); due != null; due = pollDue(until)) {
             due.run.run();
         }
     }
 
-    private synchronized Entry next(long until) {
-        Entry due = entries.peek();
-        boolean now = due != null && due.at <= until;
-        nanos = now ? Math.max(nanos, due.at) : until;
-        return now ? entries.poll() : null;
+    private synchronized Timer pollDue(long until) {
+        Timer due = timers.peek();
+        boolean now = due != null && due.dueNanos <= until;
+        nanos = now ? Math.max(nanos, due.dueNanos) : until;
+        return now ? timers.poll() : null;
     }
 }
--- a/src/test/java/barrowshore/servers/LoadReportTest.java
+++ b/src/test/java/barrowshore/servers/LoadReportTest.java
@@ -11,14 +11,14 @@
 class LoadReportTest {
     @ParameterizedTest
     @ValueSource(strings = {"-0.5", "1e18", "1e999", "\"4\"", "null", "true", "[4]", "{}", "NaN"})
-    void aFigureThatNoMachineCanHaveIsNone(String value) {
-        assertThat(Server.load(Json.parseOrNull("{\"inflight\":" + value + ",\"util\":1,\"x0\":2.5}")))
+    void impossibleValueIsIgnored(String value) {
+        assertThat(Server.parseLoad(Json.parseOrNull("{\"inflight\":" + value + ",\"util\":1,\"x0\":2.5}")))
                 .isEqualTo(new Load(Double.NaN, Double.NaN, 2.5));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "{\"inflight\":7", "[]", "7", "{}", "inflight=7"})
-    void whatIsNoReportIsNone(String text) {
-        assertThat(Server.load(Json.parseOrNull(text))).isNull();
+    void invalidReportYieldsNull(String text) {
+        assertThat(Server.parseLoad(Json.parseOrNull(text))).isNull();
     }
 }
--- a/src/test/java/barrowshore/servers/ScriptedDiscovery.java
+++ b/src/test/java/barrowshore/servers/ScriptedDiscovery.java
@@ -13,49 +13,49 @@
 
 /** A discovery on a loopback socket that does what a test tells it, call by call; it can be closed and opened again. */
 public final class ScriptedDiscovery implements AutoCloseable {
-    private static final int BACKLOG = 1;
+    private static final int LISTEN_BACKLOG = 1;
 
     private final List<Socket> sockets = new ArrayList<>();
-    private ServerSocket listening;
+    private ServerSocket serverSocket;
 
     public ScriptedDiscovery() throws IOException {
-        listening = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, LISTEN_BACKLOG, InetAddress.getLoopbackAddress());
     }
 
     public InetSocketAddress address() {
-        return (InetSocketAddress) listening.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     /** From now on connections are refused; what is open stays. */
     public void refuse() throws IOException {
-        listening.close();
+        serverSocket.close();
     }
 
     public void listenAgain() throws IOException {
-        int port = listening.getLocalPort();
-        listening = new ServerSocket();
-        listening.setReuseAddress(true);
-        listening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
+        int port = serverSocket.getLocalPort();
+        serverSocket = new ServerSocket();
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), LISTEN_BACKLOG);
     }
 
     /** Fills the queue of those that wait to be accepted: connections never come up from then on. */
     public void fillQueue() throws IOException {
-        for (int k = 0; k <= BACKLOG; k++) {
-            sockets.add(new Socket(listening.getInetAddress(), listening.getLocalPort()));
+        for (int k = 0; k <= LISTEN_BACKLOG; k++) {
+            sockets.add(new Socket(serverSocket.getInetAddress(), serverSocket.getLocalPort()));
         }
     }
 
     public void emptyQueue() throws IOException {
-        for (int k = 0; k <= BACKLOG; k++) {
-            sockets.add(listening.accept());
+        for (int k = 0; k <= LISTEN_BACKLOG; k++) {
+            sockets.add(serverSocket.accept());
         }
     }
 
     /** The connection that waits to be accepted; null: none. */
     public Call poll() throws IOException {
-        listening.setSoTimeout(1);
+        serverSocket.setSoTimeout(1);
         try {
-            Socket socket = listening.accept();
+            Socket socket = serverSocket.accept();
             socket.setTcpNoDelay(true);
             sockets.add(socket);
             return new Call(socket);
@@ -66,7 +66,7 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        serverSocket.close();
         for (Socket socket : sockets) {
             socket.close();
         }
--- a/src/test/java/barrowshore/servers/ServerTest.java
+++ b/src/test/java/barrowshore/servers/ServerTest.java
@@ -39,24 +39,24 @@
 class ServerTest {
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     private final Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
-    private HeldSelector held;
-    private ConnectionManager dialer;
-    private ServerSocket listening;
+    private HeldSelector heldSelector;
+    private ConnectionManager connectionManager;
+    private ServerSocket serverSocket;
     private Server server;
 
     /** One attempt, as the module's actor would hand it on. */
-    private static final class Attempt implements Server.Attempt {
-        final CompletableFuture<Status> end = new CompletableFuture<>();
+    private static final class TestAttempt implements Server.Attempt {
+        final CompletableFuture<Status> endStatus = new CompletableFuture<>();
         private final String id;
         private volatile boolean mayBegin = true;
         /** Whether it is for the test to say when it is known that its client is there. */
-        private volatile boolean checkedByTest;
+        private volatile boolean clientCheckHeld;
 
-        private final BlockingQueue<Runnable> checks = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Runnable> pendingChecks = new LinkedBlockingQueue<>();
         /** Run as its end is told, in the server's own turn. */
-        private volatile Runnable asItEnds = () -> {};
+        private volatile Runnable onEnded = () -> {};
 
-        Attempt(String id) {
+        TestAttempt(String id) {
             this.id = id;
         }
 
@@ -79,8 +79,8 @@
 
         @Override
         public void checkClient(Runnable then) {
-            if (checkedByTest) {
-                checks.add(then);
+            if (clientCheckHeld) {
+                pendingChecks.add(then);
             } else {
                 then.run();
             }
@@ -94,97 +94,97 @@
 
         @Override
         public void ended(Status status, Load load, byte[] result) {
-            asItEnds.run();
-            end.complete(status);
+            onEnded.run();
+            endStatus.complete(status);
         }
     }
 
     @BeforeEach
     void start() throws Exception {
         timers.start();
-        dialer = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
-        dialer.start();
-        listening = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
+        connectionManager = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
+        connectionManager.start();
+        serverSocket = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         // Messages run in the poster's stack: in the order in which the test does things.
-        server = new Server("s-1", Runnable::run, dialer, timers, 60_000_000, 1);
-        say(ServerList.State.READY);
+        server = new Server("s-1", Runnable::run, connectionManager, timers, 60_000_000, 1);
+        updateState(ServerList.State.READY);
     }
 
     @AfterEach
     void stop() throws Exception {
-        release();
-        listening.close();
-        LifeCycle.stop(dialer);
+        releaseSelector();
+        serverSocket.close();
+        LifeCycle.stop(connectionManager);
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
 
-    private void say(ServerList.State state) {
+    private void updateState(ServerList.State state) {
         server.update(entry(state, 1));
     }
 
     private ServerList.Entry entry(ServerList.State state, long bootMicros) {
-        InetSocketAddress address = (InetSocketAddress) listening.getLocalSocketAddress();
+        InetSocketAddress address = (InetSocketAddress) serverSocket.getLocalSocketAddress();
         return new ServerList.Entry("s-1", "", address, 0, 0, 0, state, 1, bootMicros);
     }
 
-    private void holdConnections() throws InterruptedException {
-        held = new HeldSelector(dialer);
+    private void holdSelector() throws InterruptedException {
+        heldSelector = new HeldSelector(connectionManager);
     }
 
-    private void release() {
-        if (held != null) {
-            held.release();
+    private void releaseSelector() {
+        if (heldSelector != null) {
+            heldSelector.release();
         }
     }
 
     /** The connection comes up now; what it carries, up to its end, if nothing but the connection's own end is to come. */
-    private byte[] carried() throws Exception {
-        try (Socket accepted = listening.accept()) {
-            held.release();
-            LifeCycle.stop(dialer);
+    private byte[] bytesSentAfterRelease() throws Exception {
+        try (Socket accepted = serverSocket.accept()) {
+            heldSelector.release();
+            LifeCycle.stop(connectionManager);
             return accepted.getInputStream().readAllBytes();
         }
     }
 
     @Test
-    void whatWaitedForItsConnectionDoesNotGoToAServerThatLeavesSince() throws Exception {
-        holdConnections();
-        Attempt attempt = new Attempt("a1");
+    void attemptAwaitingConnectionIsNotSentToTerminatingServer() throws Exception {
+        holdSelector();
+        TestAttempt attempt = new TestAttempt("a1");
         server.send(attempt);
-        say(ServerList.State.TERMINATING);
-        held.release();
-        assertThat(attempt.end.get()).isEqualTo(Status.NOT_SENT);
-        assertThat(carried()).isEmpty();
+        updateState(ServerList.State.TERMINATING);
+        heldSelector.release();
+        assertThat(attempt.endStatus.get()).isEqualTo(Status.NOT_SENT);
+        assertThat(bytesSentAfterRelease()).isEmpty();
     }
 
     @Test
-    void norToOneThatTheListLeavesOutSince() throws Exception {
-        holdConnections();
-        Attempt attempt = new Attempt("a1");
+    void attemptAwaitingConnectionIsNotSentToUnlistedServer() throws Exception {
+        holdSelector();
+        TestAttempt attempt = new TestAttempt("a1");
         server.send(attempt);
         server.unlisted();
-        held.release();
-        assertThat(attempt.end.get()).isEqualTo(Status.NOT_SENT);
-        assertThat(carried()).isEmpty();
+        heldSelector.release();
+        assertThat(attempt.endStatus.get()).isEqualTo(Status.NOT_SENT);
+        assertThat(bytesSentAfterRelease()).isEmpty();
     }
 
     /** As for a client that has gone, whether or not the settings let what has begun be called off. */
     @Test
-    void whatNobodyWaitsForAnyMoreIsNotBegun() throws Exception {
-        holdConnections();
-        Attempt attempt = new Attempt("a1");
+    void cancelledAttemptIsNotSent() throws Exception {
+        holdSelector();
+        TestAttempt attempt = new TestAttempt("a1");
         server.send(attempt);
         server.cancelIfUnsent(attempt);
-        assertThat(attempt.end.get()).as("at once").isEqualTo(Status.NOT_SENT);
-        try (Socket accepted = listening.accept()) {
-            held.release();
+        assertThat(attempt.endStatus.get()).as("at once").isEqualTo(Status.NOT_SENT);
+        try (Socket accepted = serverSocket.accept()) {
+            heldSelector.release();
             // There is one connection at most: once it is up it carries the one withdrawn, or else one of these.
             // Each waits for the end of the one before: a mailbox that is never empty would run in its own stack.
             for (int k = 0; accepted.getInputStream().available() == 0; k++) {
-                Attempt next = new Attempt("next" + k);
+                TestAttempt next = new TestAttempt("next" + k);
                 server.send(next);
-                while (accepted.getInputStream().available() == 0 && !next.end.isDone()) {
+                while (accepted.getInputStream().available() == 0 && !next.endStatus.isDone()) {
                     Thread.onSpinWait();
                 }
             }
@@ -195,86 +195,86 @@
     }
 
     @Test
-    void whatHasBegunIsNotWithdrawn() throws Exception {
-        Attempt attempt = new Attempt("a1");
+    void attemptAlreadySentIsNotCancelled() throws Exception {
+        TestAttempt attempt = new TestAttempt("a1");
         server.send(attempt);
-        try (Socket accepted = listening.accept()) {
+        try (Socket accepted = serverSocket.accept()) {
             assertThat(HttpText.firstLine(accepted.getInputStream())).isEqualTo("POST /menu HTTP/1.1");
             server.cancelIfUnsent(attempt);
             accepted.getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n"
                                     + "{\"id\":\"a1\",\"state\":\"done\",\"result\":\"one\"} \n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            assertThat(attempt.end.get()).isEqualTo(Status.OK);
+            assertThat(attempt.endStatus.get()).isEqualTo(Status.OK);
         }
     }
 
     /** Its time, or that in which a repeat does no harm, was up before the connection was. */
     @Test
-    void whatMayNotBeginAnyMoreIsNotBegun() throws Exception {
-        holdConnections();
-        Attempt attempt = new Attempt("a1");
+    void attemptThatMayNoLongerBeginIsNotSent() throws Exception {
+        holdSelector();
+        TestAttempt attempt = new TestAttempt("a1");
         server.send(attempt);
         attempt.mayBegin = false;
-        held.release();
-        assertThat(attempt.end.get()).isEqualTo(Status.NOT_SENT);
-        assertThat(carried()).isEmpty();
+        heldSelector.release();
+        assertThat(attempt.endStatus.get()).isEqualTo(Status.NOT_SENT);
+        assertThat(bytesSentAfterRelease()).isEmpty();
     }
 
     /** The connection at the worker, once an attempt has gone over it, and the next has taken it and checks its client. */
-    private Socket keptConnectionFor(Attempt next) throws Exception {
-        Attempt first = new Attempt("a1");
+    private Socket reusedConnectionFor(TestAttempt next) throws Exception {
+        TestAttempt first = new TestAttempt("a1");
         server.send(first);
-        Socket accepted = listening.accept();
+        Socket accepted = serverSocket.accept();
         assertThat(HttpText.head(accepted.getInputStream())).contains("X-Request-ID: a1");
         accepted.getInputStream().read();
         accepted.getOutputStream()
                 .write(("HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n"
                                 + "{\"id\":\"a1\",\"state\":\"done\",\"result\":\"one\"} \n")
                         .getBytes(StandardCharsets.ISO_8859_1));
-        assertThat(first.end.get()).isEqualTo(Status.OK);
-        next.checkedByTest = true;
+        assertThat(first.endStatus.get()).isEqualTo(Status.OK);
+        next.clientCheckHeld = true;
         server.send(next);
         return accepted;
     }
 
     @Test
-    void aServerThatLeavesWhileTheClientIsCheckedGetsNothing() throws Exception {
-        Attempt next = new Attempt("a2");
-        try (Socket accepted = keptConnectionFor(next)) {
-            Runnable clientIsThere = next.checks.take();
-            say(ServerList.State.TERMINATING);
+    void nothingIsSentToServerThatTerminatesDuringClientCheck() throws Exception {
+        TestAttempt next = new TestAttempt("a2");
+        try (Socket accepted = reusedConnectionFor(next)) {
+            Runnable clientIsThere = next.pendingChecks.take();
+            updateState(ServerList.State.TERMINATING);
             clientIsThere.run();
-            assertThat(next.end.get()).isEqualTo(Status.NOT_SENT);
+            assertThat(next.endStatus.get()).isEqualTo(Status.NOT_SENT);
             assertThat(accepted.getInputStream().readAllBytes()).isEmpty();
         }
     }
 
     /** The connection is one to its former life. */
     @Test
-    void aServerThatRestartsWhileTheClientIsCheckedGetsItOnAFreshConnection() throws Exception {
-        Attempt next = new Attempt("a2");
-        try (Socket accepted = keptConnectionFor(next)) {
-            Runnable clientIsThere = next.checks.take();
+    void serverThatRestartsDuringClientCheckGetsRequestOnNewConnection() throws Exception {
+        TestAttempt next = new TestAttempt("a2");
+        try (Socket accepted = reusedConnectionFor(next)) {
+            Runnable clientIsThere = next.pendingChecks.take();
             server.update(entry(ServerList.State.READY, 2));
             clientIsThere.run();
             assertThat(accepted.getInputStream().readAllBytes()).isEmpty();
-            try (Socket fresh = listening.accept()) {
-                next.checks.take().run();
+            try (Socket fresh = serverSocket.accept()) {
+                next.pendingChecks.take().run();
                 assertThat(HttpText.head(fresh.getInputStream())).contains("X-Request-ID: a2");
             }
         }
     }
 
     @Test
-    void aKeptConnectionThatEndsWhileTheClientIsCheckedIsReplaced() throws Exception {
-        Attempt next = new Attempt("a2");
-        try (Socket accepted = keptConnectionFor(next)) {
-            Runnable clientIsThere = next.checks.take();
+    void idleConnectionThatEndsDuringClientCheckIsReplaced() throws Exception {
+        TestAttempt next = new TestAttempt("a2");
+        try (Socket accepted = reusedConnectionFor(next)) {
+            Runnable clientIsThere = next.pendingChecks.take();
             accepted.shutdownOutput();
-            try (Socket fresh = listening.accept()) {
+            try (Socket fresh = serverSocket.accept()) {
                 clientIsThere.run(); // said for the connection that has ended
-                next.checks.take().run();
+                next.pendingChecks.take().run();
                 assertThat(HttpText.head(fresh.getInputStream())).contains("X-Request-ID: a2");
                 assertThat(fresh.getInputStream().read()).isEqualTo('a');
                 assertThat(fresh.getInputStream().available()).as("once").isZero();
@@ -284,27 +284,27 @@
 
     /** Told before the close, its repeat could overtake it, and be a second copy where settings allow none. */
     @Test
-    void anAnswerToAnotherRequestEndsTheConnectionBeforeItsEndIsTold() throws Exception {
-        Attempt attempt = new Attempt("a1");
+    void answerToAnotherRequestClosesConnectionBeforeAttemptEnds() throws Exception {
+        TestAttempt attempt = new TestAttempt("a1");
         CompletableFuture<Boolean> closed = new CompletableFuture<>();
         server.send(attempt);
-        try (Socket accepted = listening.accept()) {
+        try (Socket accepted = serverSocket.accept()) {
             InputStream in = accepted.getInputStream();
             assertThat(HttpText.firstLine(in)).isEqualTo("POST /menu HTTP/1.1");
             in.skipNBytes(in.available());
             accepted.setSoTimeout(2_000);
-            attempt.asItEnds = () -> closed.complete(ended(in));
+            attempt.onEnded = () -> closed.complete(isAtEnd(in));
             accepted.getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + "2b\r\n{\"id\":\"b2\",\"state\":\"done\",\"result\":\"one\"} \n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            assertThat(attempt.end.get()).isEqualTo(Status.RESET);
+            assertThat(attempt.endStatus.get()).isEqualTo(Status.RESET);
             assertThat(closed.get()).isTrue();
         }
     }
 
     /** Whether the stream is at its end; a limit that runs out says that it is not. */
-    private static boolean ended(InputStream in) {
+    private static boolean isAtEnd(InputStream in) {
         try {
             int b = in.read();
             while (b >= 0) {
--- a/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
+++ b/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
@@ -28,255 +28,258 @@
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ServiceDiscoveryTest {
     /** In which a server that leaves may still be sent to, microseconds. */
-    private static final long GRACE = 2_000_000;
+    private static final long GRACE_MICROS = 2_000_000;
 
-    private static final long STEP = 10;
+    private static final long STEP_MILLIS = 10;
     /** What the pauses come to at that grace: between one and two of them. */
-    private static final long PAUSE = 400;
+    private static final long MAX_PAUSE_MILLIS = 400;
 
-    private static final long ANSWER = 500, SILENCE = 3000, DIAL = 1000;
-    private static final Update NO_LIST = new Update(0, true, List.of());
+    private static final long ANSWER_TIMEOUT_MILLIS = 500, SILENCE_TIMEOUT_MILLIS = 3000, DIAL_TIMEOUT_MILLIS = 1000;
+    private static final Update EMPTY_LIST = new Update(0, true, List.of());
     private static final ServerList.ZoneKindNames NAMES = new ServerList.ZoneKindNames(List.of("a"), List.of("m"));
 
     private final ManualTime time = new ManualTime();
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     /** Held while the actor runs, in whichever thread. */
-    private final ReentrantLock actor = new ReentrantLock();
+    private final ReentrantLock actorLock = new ReentrantLock();
     /** Dials may take longer than this class lets them take. */
-    private final ConnectionManager dialer = new ConnectionManager(pool, time, 50, 1, 60_000, endPoint -> null);
+    private final ConnectionManager connectionManager =
+            new ConnectionManager(pool, time, 50, 1, 60_000, endPoint -> null);
 
-    private final BlockingQueue<Update> told = new LinkedBlockingQueue<>();
-    private ScriptedDiscovery here, elsewhere;
+    private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
+    private ScriptedDiscovery discovery, otherDiscovery;
     private ServiceDiscovery client;
-    private boolean knownListUsed;
+    private boolean noNewListReported;
 
     @BeforeEach
     void open() throws Exception {
-        here = new ScriptedDiscovery();
-        elsewhere = new ScriptedDiscovery();
-        dialer.start();
+        discovery = new ScriptedDiscovery();
+        otherDiscovery = new ScriptedDiscovery();
+        connectionManager.start();
     }
 
     @AfterEach
     void close() throws Exception {
-        here.close();
-        elsewhere.close();
-        LifeCycle.stop(dialer);
+        discovery.close();
+        otherDiscovery.close();
+        LifeCycle.stop(connectionManager);
         pool.shutdownNow();
     }
 
-    private void start(Update known, long grace) {
+    private void start(Update previousList, long graceMicros) {
         client = new ServiceDiscovery(
-                here.address(),
+                discovery.address(),
                 NAMES,
                 this::runLocked,
-                dialer,
+                connectionManager,
                 time,
-                told::add,
-                () -> knownListUsed = true,
-                known,
-                grace);
+                updates::add,
+                () -> noNewListReported = true,
+                previousList,
+                graceMicros);
         client.open();
     }
 
     private void runLocked(Runnable message) {
-        actor.lock();
+        actorLock.lock();
         try {
             message.run();
         } finally {
-            actor.unlock();
+            actorLock.unlock();
         }
     }
 
     /** Waits until the actor has done what it is at in another thread. */
-    private void settle() {
+    private void awaitActor() {
         runLocked(() -> {});
     }
 
-    private static String list(long rev, boolean all, String state) {
+    private static String listJson(long rev, boolean all, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:1\","
                 + "\"az\":\"a\",\"model\":\"m\",\"state\":\"" + state + "\"}]}\n";
     }
 
-    private static Update known() {
+    private static Update previousList() {
         return new Update(
                 5,
                 true,
-                ServerList.parse((java.util.Map<?, ?>) barrowshore.wire.Json.parse(list(5, true, "Ready")), NAMES)
+                ServerList.parse((java.util.Map<?, ?>) barrowshore.wire.Json.parse(listJson(5, true, "Ready")), NAMES)
                         .entries());
     }
 
-    private Update told() throws InterruptedException {
-        Update update = told.take();
-        settle();
+    private Update awaitUpdate() throws InterruptedException {
+        Update update = updates.take();
+        awaitActor();
         return update;
     }
 
     /** Time moves on until discovery is called. */
-    private Call called(ScriptedDiscovery by) throws Exception {
-        Call call = by.poll();
+    private Call awaitCall(ScriptedDiscovery from) throws Exception {
+        Call call = from.poll();
         while (call == null) {
-            time.advance(STEP);
-            call = by.poll();
+            time.advance(STEP_MILLIS);
+            call = from.poll();
         }
         return call;
     }
 
-    private void ended(Call call) throws Exception {
+    private void awaitEnd(Call call) throws Exception {
         call.awaitEnd();
-        settle();
+        awaitActor();
     }
 
     /** Answers a call, whichever it is, with what tells that the server leaves. */
-    private void tellDrain(Call call, long rev) throws Exception {
+    private void answerTerminating(Call call, long rev) throws Exception {
         if (call.target().contains("watch")) {
             call.beginWatch();
-            call.chunk(list(rev, false, "Terminating"));
+            call.chunk(listJson(rev, false, "Terminating"));
         } else {
-            call.answer(list(rev, true, "Terminating"));
+            call.answer(listJson(rev, true, "Terminating"));
         }
-        assertThat(told().entries()).extracting(ServerList.Entry::state).containsExactly(ServerList.State.TERMINATING);
+        assertThat(awaitUpdate().entries())
+                .extracting(ServerList.Entry::state)
+                .containsExactly(ServerList.State.TERMINATING);
     }
 
     /** A scheduler that sends jobs by discovery's list, and its watch, of which only the head has come. */
-    private Call watching(long grace) throws Exception {
-        start(NO_LIST, grace);
-        Call watch = called(here);
+    private Call startAndWatch(long graceMicros) throws Exception {
+        start(EMPTY_LIST, graceMicros);
+        Call watch = awaitCall(discovery);
         assertThat(watch.target()).isEqualTo("/api/targets");
-        watch.answer(list(7, true, "Ready"));
-        told();
+        watch.answer(listJson(7, true, "Ready"));
+        awaitUpdate();
         assertThat(watch.target()).isEqualTo("/api/targets?watch=1&after=7");
         watch.beginWatch();
         return watch;
     }
 
     /** The line of a watch that tells no change; time stands until it has been read. */
-    private void beat(Call watch) throws Exception {
+    private void sendHeartbeat(Call watch) throws Exception {
         long before = time.scheduled();
         watch.chunk("\n");
         while (time.scheduled() == before) {
             Thread.onSpinWait();
         }
-        settle();
+        awaitActor();
     }
 
-    private void assertToldWithin(long millis, long since) {
-        assertThat(time.millis() - since).as("milliseconds untold").isLessThanOrEqualTo(millis + STEP);
+    private void assertReportedWithin(long millis, long sinceMillis) {
+        assertThat(time.millis() - sinceMillis).as("milliseconds untold").isLessThanOrEqualTo(millis + STEP_MILLIS);
     }
 
     /** Refuses calls until the pauses between them are at their longest. */
-    private Call refusedForLong(ScriptedDiscovery by) throws Exception {
-        Call call = called(by);
+    private Call refuseUntilLongestPause(ScriptedDiscovery from) throws Exception {
+        Call call = awaitCall(from);
         for (int k = 0; k < 8; k++) {
             call.target();
             call.refuse("3600");
-            ended(call);
-            call = called(by);
+            awaitEnd(call);
+            call = awaitCall(from);
         }
         return call;
     }
 
     @Test
-    void dialsRefusedJustBeforeAreMadeAgain() throws Exception {
-        here.refuse();
-        start(known(), GRACE);
+    void refusedDialIsRetried() throws Exception {
+        discovery.refuse();
+        start(previousList(), GRACE_MICROS);
         time.advance(4000);
         long before = time.scheduled();
         while (time.scheduled() == before) {
-            time.advance(STEP); // until one has been refused just now
+            time.advance(STEP_MILLIS); // until one has been refused just now
         }
-        here.listenAgain();
+        discovery.listenAgain();
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aDialThatNeverComesUpIsGivenUp() throws Exception {
-        here.fillQueue();
-        start(known(), GRACE);
-        here.emptyQueue(); // what was dialed before is lost: nothing of it comes up
+    void dialThatNeverConnectsIsAbandoned() throws Exception {
+        discovery.fillQueue();
+        start(previousList(), GRACE_MICROS);
+        discovery.emptyQueue(); // what was dialed before is lost: nothing of it comes up
         long since = time.millis();
-        Call call = called(here);
-        tellDrain(call, 8);
-        assertToldWithin(DIAL + PAUSE, since);
+        Call call = awaitCall(discovery);
+        answerTerminating(call, 8);
+        assertReportedWithin(DIAL_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aDialThatComesUpAfterItWasGivenUpIsEnded() throws Exception {
-        here.fillQueue();
-        start(known(), GRACE);
-        time.advance(DIAL);
-        here.emptyQueue();
-        Call late = here.poll();
+    void abandonedDialThatConnectsLateIsClosed() throws Exception {
+        discovery.fillQueue();
+        start(previousList(), GRACE_MICROS);
+        time.advance(DIAL_TIMEOUT_MILLIS);
+        discovery.emptyQueue();
+        Call late = discovery.poll();
         while (late == null) {
-            late = here.poll(); // the kernel tries again by its own clock
+            late = discovery.poll(); // the kernel tries again by its own clock
         }
-        ended(late);
-        Call call = called(here);
-        tellDrain(call, 8);
-        time.advance(PAUSE);
-        assertThat(here.poll()).as("a second call").isNull();
+        awaitEnd(late);
+        Call call = awaitCall(discovery);
+        answerTerminating(call, 8);
+        time.advance(MAX_PAUSE_MILLIS);
+        assertThat(discovery.poll()).as("a second call").isNull();
     }
 
     @Test
-    void aLongRetryAfterIsNotHeededBySchedulersThatSend() throws Exception {
-        Call watch = watching(GRACE);
+    void longRetryAfterIsIgnoredWhileJobsAreSent() throws Exception {
+        Call watch = startAndWatch(GRACE_MICROS);
         watch.reset();
-        Call call = refusedForLong(here);
+        Call call = refuseUntilLongestPause(discovery);
         call.target();
         call.refuse("3600");
-        ended(call);
+        awaitEnd(call);
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void norAfterAMoveWhileTheFormerListIsInUse() throws Exception {
-        watching(GRACE);
-        client.setAddress(elsewhere.address());
-        Call call = refusedForLong(elsewhere);
+    void longRetryAfterIsIgnoredAfterAddressChangeWhileFormerListIsInUse() throws Exception {
+        startAndWatch(GRACE_MICROS);
+        client.setAddress(otherDiscovery.address());
+        Call call = refuseUntilLongestPause(otherDiscovery);
         call.target();
         call.refuse("3600");
-        ended(call);
+        awaitEnd(call);
         long since = time.millis();
-        tellDrain(called(elsewhere), 3);
-        assertToldWithin(PAUSE, since);
+        answerTerminating(awaitCall(otherDiscovery), 3);
+        assertReportedWithin(MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void norWhileTheListKnownFromBeforeIsInUse() throws Exception {
-        start(known(), GRACE);
-        Call call = called(here); // left unanswered until that list is in use
-        while (!knownListUsed) {
-            time.advance(STEP);
-            Call next = here.poll();
+    void longRetryAfterIsIgnoredWhilePreviousListIsInUse() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        Call call = awaitCall(discovery); // left unanswered until that list is in use
+        while (!noNewListReported) {
+            time.advance(STEP_MILLIS);
+            Call next = discovery.poll();
             call = next == null ? call : next;
         }
-        call = refusedForLong(here);
+        call = refuseUntilLongestPause(discovery);
         call.target();
         call.refuse("3600");
-        ended(call);
+        awaitEnd(call);
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(MAX_PAUSE_MILLIS, since);
     }
 
     /** Calls are rare while nothing is sent, and must not stay so once the list known from before is in use. */
     @Test
-    void theListKnownFromBeforeIsInUseBehindRefusalsAndIsPutRightSoon() throws Exception {
-        start(known(), GRACE);
-        Call call = called(here);
+    void previousListIsUsedDespiteRefusalsAndCorrectedSoon() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        Call call = awaitCall(discovery);
         call.target();
-        time.advance(ANSWER - STEP);
-        while (!knownListUsed) {
+        time.advance(ANSWER_TIMEOUT_MILLIS - STEP_MILLIS);
+        while (!noNewListReported) {
             call.refuse("3600");
-            ended(call);
+            awaitEnd(call);
             call = null;
-            while (call == null && !knownListUsed) {
-                time.advance(STEP);
-                call = here.poll();
+            while (call == null && !noNewListReported) {
+                time.advance(STEP_MILLIS);
+                call = discovery.poll();
             }
             if (call != null) {
                 call.target();
@@ -284,255 +287,260 @@
         }
         long since = time.millis();
         if (call == null) {
-            call = called(here);
+            call = awaitCall(discovery);
             call.target();
         }
-        assertToldWithin(PAUSE, since);
+        assertReportedWithin(MAX_PAUSE_MILLIS, since);
         call.refuse("3600");
-        ended(call);
+        awaitEnd(call);
         since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(MAX_PAUSE_MILLIS, since);
         time.advance(1000); // past the end of the pause that was cut short
-        assertThat(here.poll()).as("a second call").isNull();
+        assertThat(discovery.poll()).as("a second call").isNull();
     }
 
     @Test
-    void aCallLeftUnansweredIsGivenUp() throws Exception {
-        start(known(), GRACE);
-        Call call = called(here);
+    void unansweredCallIsAbandoned() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        Call call = awaitCall(discovery);
         for (int k = 0; k < 8; k++) {
             call.target();
-            call = called(here);
+            call = awaitCall(discovery);
         }
         call.target(); // made just before discovery is back, and never answered
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(ANSWER + PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(ANSWER_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aLongGraceDoesNotMakeThePausesLong() throws Exception {
-        Call watch = watching(60_000_000);
+    void longGraceDoesNotLengthenPauses() throws Exception {
+        Call watch = startAndWatch(60_000_000);
         watch.reset();
-        Call call = refusedForLong(here);
+        Call call = refuseUntilLongestPause(discovery);
         call.target();
         call.refuse("3600");
-        ended(call);
+        awaitEnd(call);
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(1000, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(1000, since);
     }
 
     @Test
-    void aWatchThatIsSilentFromItsHeadOnIsOpenedAnew() throws Exception {
-        watching(GRACE);
+    void watchSilentAfterItsHeadIsReopened() throws Exception {
+        startAndWatch(GRACE_MICROS);
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(SILENCE + PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aWatchThatFallsSilentLateIsOpenedAnew() throws Exception {
-        Call watch = watching(GRACE);
+    void watchThatFallsSilentLaterIsReopened() throws Exception {
+        Call watch = startAndWatch(GRACE_MICROS);
         for (int k = 0; k < 5; k++) {
             time.advance(2000);
-            beat(watch);
+            sendHeartbeat(watch);
         }
         long since = time.millis();
-        tellDrain(called(here), 8);
-        assertToldWithin(SILENCE + PAUSE, since);
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aWatchThatFallsSilentAfterAWholeListIsOpenedAnewAlsoBehindACallThatGoesUnanswered() throws Exception {
-        Call watch = watching(GRACE);
-        watch.chunk(list(8, true, "Ready"));
-        told();
+    void watchSilentAfterFullListIsReopenedEvenIfNextCallIsUnanswered() throws Exception {
+        Call watch = startAndWatch(GRACE_MICROS);
+        watch.chunk(listJson(8, true, "Ready"));
+        awaitUpdate();
         long since = time.millis();
-        assertThat(called(here).target()).isEqualTo("/api/targets?watch=1&after=8");
-        tellDrain(called(here), 9);
-        assertToldWithin(SILENCE + PAUSE + ANSWER + PAUSE, since);
+        assertThat(awaitCall(discovery).target()).isEqualTo("/api/targets?watch=1&after=8");
+        answerTerminating(awaitCall(discovery), 9);
+        assertReportedWithin(
+                SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS + ANSWER_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aWatchWhoseObjectNeverEndsIsOpenedAnew() throws Exception {
-        Call watch = watching(GRACE);
+    void watchWithUnendingObjectIsReopened() throws Exception {
+        Call watch = startAndWatch(GRACE_MICROS);
         long since = time.millis();
         watch.chunk("{\"rev\":8,\"all\":true,");
-        Call next = here.poll();
-        for (int k = 0; next == null && time.millis() - since < 2 * SILENCE; k++) {
+        Call next = discovery.poll();
+        for (int k = 0; next == null && time.millis() - since < 2 * SILENCE_TIMEOUT_MILLIS; k++) {
             if (k % 50 == 0) {
                 watch.chunk("\n  ");
             }
-            time.advance(STEP);
-            next = here.poll();
+            time.advance(STEP_MILLIS);
+            next = discovery.poll();
         }
         assertThat(next).as("a new call").isNotNull();
-        tellDrain(next, 8);
-        assertToldWithin(SILENCE + PAUSE, since);
+        answerTerminating(next, 8);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void theListKnownFromBeforeIsNotUsedWhileAListIsComingInPieces() throws Exception {
-        start(known(), GRACE);
-        Call watch = called(here);
+    void previousListIsNotUsedWhileListArrivesInPieces() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        Call watch = awaitCall(discovery);
         watch.target();
         long before = time.scheduled();
-        String list = list(8, true, "Terminating");
+        String list = listJson(8, true, "Terminating");
         watch.beginWatch();
         watch.chunk(list.substring(0, list.length() / 2));
         while (time.scheduled() < before + 3) {
             Thread.onSpinWait(); // until head and piece have been read: a limit for each, and one look at what follows
         }
-        settle();
-        time.advance(SILENCE - STEP);
-        assertThat(knownListUsed).isFalse();
+        awaitActor();
+        time.advance(SILENCE_TIMEOUT_MILLIS - STEP_MILLIS);
+        assertThat(noNewListReported).isFalse();
         watch.chunk(list.substring(list.length() / 2));
-        assertThat(told().entries()).extracting(ServerList.Entry::state).containsExactly(ServerList.State.TERMINATING);
+        assertThat(awaitUpdate().entries())
+                .extracting(ServerList.Entry::state)
+                .containsExactly(ServerList.State.TERMINATING);
     }
 
     @Test
-    void theListKnownFromBeforeIsUsedWhereAWatchTellsNoChange() throws Exception {
-        start(known(), GRACE);
-        Call watch = called(here);
+    void previousListIsUsedWhenWatchReportsNoChange() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        Call watch = awaitCall(discovery);
         watch.target();
         long before = time.scheduled();
         watch.beginWatch();
         while (time.scheduled() < before + 2) {
             Thread.onSpinWait(); // until the head has been read: its limit, and one look at what follows
         }
-        settle();
+        awaitActor();
         time.advance(1000);
-        assertThat(knownListUsed).isTrue();
+        assertThat(noNewListReported).isTrue();
     }
 
     @Test
-    void aWatchThatIsResetIsOpenedAnew() throws Exception {
-        Call watch = watching(GRACE);
-        beat(watch);
+    void resetWatchIsReopened() throws Exception {
+        Call watch = startAndWatch(GRACE_MICROS);
+        sendHeartbeat(watch);
         long before = time.scheduled();
         watch.reset();
         long since = time.millis();
         while (time.scheduled() == before) {
             Thread.onSpinWait(); // until its end is known
         }
-        settle();
-        tellDrain(called(here), 8);
-        assertToldWithin(0, since);
+        awaitActor();
+        answerTerminating(awaitCall(discovery), 8);
+        assertReportedWithin(0, since);
     }
 
     @Test
-    void aWholeListThatComesInPiecesIsReadToItsEnd() throws Exception {
-        start(known(), GRACE);
-        client.setAddress(elsewhere.address());
-        Call call = called(elsewhere);
+    void fullListInPiecesIsReadToItsEnd() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        client.setAddress(otherDiscovery.address());
+        Call call = awaitCall(otherDiscovery);
         assertThat(call.target()).isEqualTo("/api/targets");
-        String list = list(3, true, "Terminating").replace(",", ",\n  ");
+        String list = listJson(3, true, "Terminating").replace(",", ",\n  ");
         int pieces = 6, length = list.length() / pieces;
         call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
         for (int k = 0; k < pieces; k++) {
             long before = time.scheduled();
             call.send(list.substring(k * length, k == pieces - 1 ? list.length() : (k + 1) * length));
-            while (time.scheduled() == before && told.isEmpty()) {
+            while (time.scheduled() == before && updates.isEmpty()) {
                 Thread.onSpinWait(); // until the piece has been read
             }
-            settle();
+            awaitActor();
             if (k < pieces - 1) {
-                time.advance(ANSWER - STEP);
+                time.advance(ANSWER_TIMEOUT_MILLIS - STEP_MILLIS);
             }
         }
-        assertThat(told().entries()).extracting(ServerList.Entry::state).containsExactly(ServerList.State.TERMINATING);
-        assertThat(elsewhere.poll()).as("a second call").isNull();
+        assertThat(awaitUpdate().entries())
+                .extracting(ServerList.Entry::state)
+                .containsExactly(ServerList.State.TERMINATING);
+        assertThat(otherDiscovery.poll()).as("a second call").isNull();
     }
 
     @Test
-    void aWholeListThatNeverEndsIsAskedForAnew() throws Exception {
-        Call watch = watching(GRACE);
-        client.setAddress(elsewhere.address());
-        Call call = called(elsewhere);
+    void unendingFullListIsRequestedAgain() throws Exception {
+        Call watch = startAndWatch(GRACE_MICROS);
+        client.setAddress(otherDiscovery.address());
+        Call call = awaitCall(otherDiscovery);
         call.target();
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         long since = time.millis();
-        Call next = elsewhere.poll();
-        for (int k = 0; next == null && time.millis() - since < 2 * SILENCE; k++) {
+        Call next = otherDiscovery.poll();
+        for (int k = 0; next == null && time.millis() - since < 2 * SILENCE_TIMEOUT_MILLIS; k++) {
             if (k % 20 == 0) {
                 long before = time.scheduled();
                 call.chunk(k == 0 ? "{\n" : "  \n");
                 while (time.scheduled() == before) {
                     Thread.onSpinWait(); // until the piece has been read
                 }
-                settle();
-                beat(watch); // the former address has no more to tell
+                awaitActor();
+                sendHeartbeat(watch); // the former address has no more to tell
             }
-            time.advance(STEP);
-            next = elsewhere.poll();
+            time.advance(STEP_MILLIS);
+            next = otherDiscovery.poll();
         }
         assertThat(next).as("a new call").isNotNull();
-        tellDrain(next, 3);
-        assertToldWithin(SILENCE + PAUSE, since);
+        answerTerminating(next, 3);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aMoveDuringADialThatIsStillOpenIsMadeAtOnce() throws Exception {
-        here.fillQueue();
-        start(known(), GRACE);
-        client.setAddress(elsewhere.address());
+    void addressChangeDuringPendingDialTakesEffectAtOnce() throws Exception {
+        discovery.fillQueue();
+        start(previousList(), GRACE_MICROS);
+        client.setAddress(otherDiscovery.address());
         long since = time.millis();
-        Call call = elsewhere.poll();
+        Call call = otherDiscovery.poll();
         assertThat(call).isNotNull();
         assertThat(call.target()).isEqualTo("/api/targets");
-        call.answer(list(3, true, "Terminating"));
-        told();
-        assertToldWithin(0, since);
+        call.answer(listJson(3, true, "Terminating"));
+        awaitUpdate();
+        assertReportedWithin(0, since);
         assertThat(call.target()).isEqualTo("/api/targets?watch=1&after=3");
         call.beginWatch();
-        time.advance(DIAL); // when the dial to the former address is given up
-        assertThat(elsewhere.poll()).as("a second call").isNull();
+        time.advance(DIAL_TIMEOUT_MILLIS); // when the dial to the former address is given up
+        assertThat(otherDiscovery.poll()).as("a second call").isNull();
     }
 
     @Test
-    void aMoveDuringThePauseAfterAFailedCallIsMadeAtOnce() throws Exception {
-        start(known(), GRACE);
-        Call call = refusedForLong(here);
+    void addressChangeDuringPauseTakesEffectAtOnce() throws Exception {
+        start(previousList(), GRACE_MICROS);
+        Call call = refuseUntilLongestPause(discovery);
         call.target();
         call.refuse("3600");
-        ended(call);
-        client.setAddress(elsewhere.address());
+        awaitEnd(call);
+        client.setAddress(otherDiscovery.address());
         long since = time.millis();
-        Call moved = called(elsewhere);
-        tellDrain(moved, 3);
-        assertToldWithin(0, since);
+        Call moved = awaitCall(otherDiscovery);
+        answerTerminating(moved, 3);
+        assertReportedWithin(0, since);
     }
 
     @Test
-    void whatTheFormerAddressAnswersAfterAMoveDoesNotHoldUpTheNextCall() throws Exception {
-        start(NO_LIST, GRACE);
-        Call former = called(here);
+    void answerFromFormerAddressDoesNotDelayNextCall() throws Exception {
+        start(EMPTY_LIST, GRACE_MICROS);
+        Call former = awaitCall(discovery);
         former.target();
-        client.setAddress(elsewhere.address());
-        Call call = called(elsewhere);
+        client.setAddress(otherDiscovery.address());
+        Call call = awaitCall(otherDiscovery);
         call.target(); // never answered
         former.refuse("3600");
-        ended(former);
+        awaitEnd(former);
         long since = time.millis();
-        tellDrain(called(elsewhere), 3);
-        assertToldWithin(ANSWER + PAUSE, since);
+        answerTerminating(awaitCall(otherDiscovery), 3);
+        assertReportedWithin(ANSWER_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
     }
 
     @Test
-    void aFirstListThatIsSlowToComeIsWaitedForAtLast() throws Exception {
-        start(NO_LIST, GRACE);
+    void answerTimeoutGrowsUntilSlowFirstListArrives() throws Exception {
+        start(EMPTY_LIST, GRACE_MICROS);
         long slow = 1500;
         boolean heard = false;
         for (int k = 0; k < 5 && !heard; k++) {
-            Call call = called(here);
+            Call call = awaitCall(discovery);
             call.target();
-            for (long left = slow; left > 0; left -= STEP) {
-                time.advance(STEP);
+            for (long left = slow; left > 0; left -= STEP_MILLIS) {
+                time.advance(STEP_MILLIS);
             }
             try {
-                call.answer(list(3, true, "Ready"));
+                call.answer(listJson(3, true, "Ready"));
                 heard = call.target().contains("watch");
             } catch (java.io.IOException e) {
                 heard = false; // given up before its answer
