--- a/src/main/java/barrowshore/net/Clock.java
+++ b/src/main/java/barrowshore/net/Clock.java
@@ -3,8 +3,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The scheduler's one clock: microseconds of Unix time, anchored to the wall clock once, at the start, and monotonic
- * from there, so that a step of the wall clock never moves a deadline. It must never be read by the decision module.
+ * The scheduler's clock, in microseconds of Unix time. It reads the wall clock only at the start and is monotonic from
+ * there, so that a step of the wall clock never moves a deadline. The decision module gets times passed in and must not
+ * read it.
  */
 public final class Clock {
     private final LongSupplier nanos;
--- a/src/main/java/barrowshore/net/ConnectionManager.java
+++ b/src/main/java/barrowshore/net/ConnectionManager.java
@@ -23,22 +23,21 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Opens and accepts every socket. It owns the selector and the budgets of descriptors for clients' and for outgoing
- * connections: a permit is taken when an accept or a dial starts and given back when the descriptor has been released,
- * which is later than the close of the channel (see {@link #afterRelease}). It must never know what is spoken on a
- * connection.
+ * Opens and accepts all sockets; independent of the protocols spoken on them. It owns the selector and two budgets of
+ * descriptors, for client and for outgoing connections. A permit is taken when an accept or a dial starts and returned
+ * once the descriptor is released, which is later than the close of the channel (see {@link #afterRelease}).
  */
 public final class ConnectionManager extends SelectorManager {
-    /** Marks a connection that was accepted, and so counts among the clients'. */
+    /** Marks a connection that was accepted and so counts against the budget of client connections. */
     public interface AcceptedConnection {}
 
-    /** Makes the connection that speaks on a fresh end point. */
+    /** Receives the outcome of a dial: creates the protocol's connection on the new end point, or gets the failure. */
     public interface DialHandler extends Function<EndPoint, Connection> {
         /** The dial has failed; called instead of {@link #apply}. */
         void onDialFailed(Throwable cause);
     }
 
-    /** How often, and how many milliseconds apart, is looked whether those that wait for a descriptor can be taken in. */
+    /** How often {@link #stopListening} tries to accept connections that still wait for a permit. */
     private static final int MAX_ACCEPT_SWEEPS = 100;
 
     private static final long ACCEPT_SWEEP_INTERVAL_MILLIS = 10;
@@ -47,12 +46,12 @@
     private final ResizableSemaphore clientPermits;
     private final Function<EndPoint, Connection> acceptedConnectionFactory;
     private final long connectTimeoutMillis;
-    /** The only one; null until the start, and kept after the end for connections that are closed by it. */
+    /** The only selector; null until the start, and kept after the stop, which closes connections that still use it. */
     private volatile ManagedSelector selector;
-    /** Clients' connections from their accept to their end, also those that no actor knows yet; the permits given out. */
+    /** Accepted connections until their descriptors are released, even if no actor knows them yet. */
     private final AtomicInteger openClientConnections = new AtomicInteger();
 
-    /** The listening socket's key while nothing is accepted for want of a permit, else null; the selector thread's. */
+    /** The listening socket's key while accepting is paused for lack of permits, else null; selector thread only. */
     private SelectionKey pausedListenKey;
 
     private final AtomicReference<Runnable> clientsGoneCallback = new AtomicReference<>();
@@ -77,7 +76,7 @@
         return selector;
     }
 
-    /** Dials; false if that would not leave so many descriptors to others, in which case the opener hears nothing. */
+    /** Dials; returns false, without calling the handler, if fewer than {@code descriptorsToLeave} would remain free. */
     public boolean dial(InetSocketAddress address, int descriptorsToLeave, DialHandler handler) {
         if (!outgoingPermits.tryAcquire(1 + descriptorsToLeave)) {
             return false;
@@ -103,9 +102,9 @@
     }
 
     /**
-     * Guards what is up against being taken for what never came up: where the process is short of processor time, the
-     * limit may run out while the selector has yet to look at a connection that has long been up. So the selector's own
-     * thread decides, after it has looked once more. Its limit on connecting, which does not look, is far longer.
+     * Limits the time to connect. In a process short of processor time the timer may fire before the selector has noticed
+     * an established connection, so the selector's thread decides after one more selection. Jetty's own connect timeout,
+     * which has no such check, is far longer.
      */
     private void scheduleConnectTimeout(SocketChannel channel, DialHandler handler) {
         getScheduler()
@@ -116,7 +115,8 @@
                                     if (channel.isConnectionPending()) {
                                         connectionFailed(
                                                 channel,
-                                                new SocketTimeoutException("not up in " + connectTimeoutMillis + " ms"),
+                                                new SocketTimeoutException(
+                                                        "not connected within " + connectTimeoutMillis + " ms"),
                                                 handler);
                                     }
                                 }));
@@ -132,9 +132,9 @@
     }
 
     /**
-     * Stops listening without a loss: a connection that waits in the queue of a socket that is closed is reset. So the
-     * socket is taken from the selector first, since one that a selector still knows is closed only later; then, in one
-     * go, all that wait are taken in and it is closed. The message runs after that.
+     * Stops listening without losing connections: closing the socket would reset those in its backlog. So it is first
+     * deregistered, since a registered socket is closed only at a later selection; then all waiting connections are
+     * accepted and the socket is closed at once. The callback runs after that.
      */
     public void stopListening(ServerSocketChannel server, Runnable ended) {
         selector.submit(keys -> {
@@ -167,14 +167,14 @@
         }
     }
 
-    /** So many descriptors more; less than 0: fewer, those in use as they are given back. */
+    /** Changes both budgets; negative deltas take effect as descriptors in use are released. */
     public void addPermits(int outgoingDelta, int clientDelta) {
         outgoingPermits.addPermits(outgoingDelta);
         clientPermits.addPermits(clientDelta);
         selector.submit(keys -> resumeAccepting());
     }
 
-    /** Permits that may become fewer while all are given out. */
+    /** A semaphore whose permits may be reduced even while all are in use. */
     private static final class ResizableSemaphore extends Semaphore {
         private static final long serialVersionUID = 1;
 
@@ -192,8 +192,8 @@
     }
 
     /**
-     * Guards the descriptors: 1,200 idle connections in a burst once used them all up before the client side had closed
-     * any, and nothing could be dialed. Above the clients' part the rest wait in the backlog until one has ended.
+     * Accepts only while there are client permits; other connections wait in the backlog. Without this limit a burst of
+     * 1,200 idle connections used up all descriptors, and nothing could be dialed.
      */
     @Override
     protected SelectableChannel doAccept(SelectableChannel server) throws IOException {
@@ -215,8 +215,8 @@
     }
 
     /**
-     * Guards the processor: a selector that goes on looking for connections that it may not accept never rests, while those
-     * that would close others and so make room wait for their turn, and the queue grows.
+     * Removes the interest in accepts. Otherwise the selector would spin on connections that it may not accept, and take
+     * processor time from the threads that close others and so free permits.
      */
     private void pauseAccepting(SelectableChannel server) {
         SelectionKey key = server.keyFor(selector.getSelector());
@@ -241,7 +241,7 @@
             ((SocketChannel) channel).setOption(StandardSocketOptions.TCP_NODELAY, true);
             accept(channel, null);
         } catch (IOException e) {
-            IO.close(channel); // it has gone while it waited; the others that wait have not
+            IO.close(channel); // the client left while in the backlog; go on with the others
             releaseClientPermit();
         }
     }
@@ -268,9 +268,9 @@
     }
 
     /**
-     * Runs the action once the descriptor of a closed channel has been released. The JDK keeps the descriptor of a channel
-     * that a selector knows until the next selection, and the selector's thread may accept many others before that: with
-     * permits that came back at the close, a burst of clients had more descriptors than their budget.
+     * Runs the action once the descriptor of a closed channel is released. The JDK keeps the descriptor of a registered
+     * channel until the next selection, before which many others may be accepted: with permits returned at the close, a
+     * burst of clients held more descriptors than their budget.
      */
     private void afterRelease(SelectableChannel channel, Runnable action) {
         selector.submit(keys -> {
@@ -282,7 +282,7 @@
         });
     }
 
-    /** A connection that was up at once, accepted or dialed, and never came to be one. */
+    /** Setting up an accepted connection, or a dialed one that was established at once, has failed. */
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         super.onAcceptFailed(channel, cause, attachment);
@@ -302,7 +302,7 @@
         }
     }
 
-    /** The message runs once no accepted connection is open; for when no more are accepted. */
+    /** Runs the callback once no accepted connection is open; to be called after {@link #stopListening}. */
     public void whenClientsGone(Runnable callback) {
         clientsGoneCallback.set(callback);
         notifyIfClientsGone();
--- a/src/main/java/barrowshore/net/HttpLink.java
+++ b/src/main/java/barrowshore/net/HttpLink.java
@@ -17,20 +17,20 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One HTTP/1.1 connection of any peer: bytes in through Jetty's parser, messages out through its generator. It owns its
- * end point, its read buffer and the timer that limits it, and is the one place that gives them back; all of it runs in
- * the mailbox of the actor it belongs to. It must never resend anything, and never read further ahead than one buffer.
+ * Base of all HTTP/1.1 connections, on Jetty's parser and generator. Each belongs to an actor and runs in its mailbox;
+ * it owns its end point, read buffer and time limit and is the only place that releases them. It resends nothing and
+ * reads at most one buffer ahead.
  */
 public abstract class HttpLink extends AbstractConnection implements HttpParser.HttpHandler {
     private static final int READ_BUFFER_BYTES = 4096;
     private static final int INITIAL_HEADER_BUFFER_BYTES = 2048;
-    /** A head, of a request or an answer, is at most so long. */
+    /** Longest accepted head of a request or a response, in bytes. */
     protected static final int MAX_HEADER = 16384;
-    /** Bytes read and thrown away at once for a peer to get its last answer. */
+    /** Bytes that are read and discarded at full speed, so that the peer can still read its last answer. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
     /**
-     * A peer that floods us beyond that is read on at this pace: so many bytes, then a rest. Ended at once, its unread bytes
-     * would reset the connection and eat the answer; so it is its time that is bounded.
+     * Above that, reading is throttled to so many bytes per pause instead of closing: a close with bytes unread would reset
+     * the connection and could destroy the answer. The time limit bounds it.
      */
     private static final int FLOOD_READ_BYTES = 64 * 1024;
 
@@ -39,21 +39,21 @@
     protected final Mailbox mailbox;
     private final Scheduler timers;
     private Scheduler.Task timeLimit;
-    /** Counts the limits set: one that ran out as the next was set must not end the connection. */
+    /** Number of the latest time limit: an earlier one that fires late must not close the connection. */
     private int timeLimitCount;
 
     private final ByteBuffer readBuffer = BufferUtil.allocate(READ_BUFFER_BYTES);
-    /** Set by the subclass's constructor; it needs the subclass as its handler. */
+    /** Set by the subclass's constructor, since the subclass is its handler. */
     protected HttpParser parser;
-    /** Whether the message read last leaves the connection to the next one. */
+    /** Whether the connection may be reused after the last message read. */
     protected boolean persistent;
 
     private boolean closed;
-    /** Set by the writer itself, so that whoever wrote knows as the write returns. */
+    /** Set directly by the writing thread, so that it is known as soon as the write returns. */
     private volatile boolean writeFailed;
 
     private boolean discarding;
-    /** Whether more came unasked than one buffer holds: it is thrown away, so that the peer's end is still seen. */
+    /** Whether unsolicited bytes overflowed the buffer; they are discarded, so that the peer's close is still seen. */
     private boolean flooded;
 
     private int discardedBytes;
@@ -64,7 +64,7 @@
         this.timers = timers;
     }
 
-    /** The peer has closed, the connection broke, or we closed it: called once, always. */
+    /** Called exactly once, when either side has closed the connection or it broke. */
     protected abstract void onEnd(Throwable cause);
 
     @Override
@@ -88,7 +88,7 @@
         mailbox.post(() -> end(cause));
     }
 
-    /** Calls {@link #onTimeLimit} after so long, unless another limit or none (0) is set before. */
+    /** Calls {@link #onTimeLimit} after the given time unless another limit is set before; 0 removes the limit. */
     protected void setTimeLimit(long millis) {
         if (timeLimit != null) {
             timeLimit.cancel();
@@ -106,12 +106,12 @@
                 : null;
     }
 
-    /** The limit has run out. */
+    /** Called when the time limit expires. */
     protected void onTimeLimit() {
         closeNow();
     }
 
-    /** Reads and parses until there is nothing more, or the subclass stops it by {@link #wantsBytes}. */
+    /** Reads and parses until no bytes are left or {@link #wantsBytes} stops it. */
     protected void read() {
         try {
             while (!closed) {
@@ -140,7 +140,7 @@
                     }
                     end(null);
                 } else if (filled == 0) {
-                    // A full buffer that nobody wants is left unread: the peer waits, as TCP has it.
+                    // With a full buffer and nobody to take it, stop reading: TCP flow control makes the peer wait.
                     if ((BufferUtil.space(readBuffer) > 0 || parse) && !isFillInterested()) {
                         fillInterested(Callback.from(
                                 Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed));
@@ -149,21 +149,20 @@
                 }
             }
         } catch (IOException | RuntimeException | AssertionError e) {
-            // Whatever a peer sends costs at most its own connection. The parser, where assertions are on, has one
-            // against
-            // an error within an answer that says 200.
+            // Whatever a peer sends may cost at most its own connection. With assertions enabled, the parser throws an
+            // AssertionError on an error within a response with status 200.
             end(e);
         }
     }
 
-    /** Whether bytes go to the parser now; if not they are kept, and only the end of the stream is looked for. */
+    /** Whether bytes go to the parser now; if not, one buffer of them is kept, and the end of the stream is noticed. */
     protected boolean wantsBytes() {
         return true;
     }
 
     /**
-     * A whole buffer has come that nobody wants yet. True: it and all that follows is thrown away, and nothing more can be
-     * read here; false: the peer is left to wait, and its end is not seen until it is read on.
+     * What to do when unwanted bytes fill the buffer. True: discard them and all that follow, so that nothing more can be
+     * parsed on this connection. False: stop reading, so that the peer's close goes unnoticed until reading resumes.
      */
     protected boolean discardsOverflow() {
         return false;
@@ -173,7 +172,7 @@
         return flooded;
     }
 
-    /** Whether the peer has closed a connection that should be silent; asked just before it is written to. */
+    /** Whether an idle connection was closed, or got unsolicited bytes; to be checked right before writing. */
     public boolean brokenWhileIdle() {
         try {
             return closed || !getEndPoint().isOpen() || getEndPoint().fill(readBuffer) != 0;
@@ -182,14 +181,14 @@
         }
     }
 
-    /** Whether bytes have come that nobody has asked for. */
+    /** Whether the buffer holds unparsed bytes. */
     protected boolean hasUnread() {
         return BufferUtil.hasContent(readBuffer);
     }
 
     /**
-     * Ends our side and lets the peer end its own: closing at once, with bytes unread, would reset the connection and
-     * could destroy the answer on its way.
+     * Shuts down our side and waits up to the given time for the peer to close its own. Closing with bytes unread would
+     * reset the connection and could destroy an answer in flight.
      */
     protected void closeGracefully(long millis) {
         discarding = true;
@@ -199,7 +198,7 @@
         read();
     }
 
-    /** The peer does not speak HTTP. */
+    /** The peer has sent something other than valid HTTP. */
     @Override
     public void badMessage(HttpException failure) {
         end(failure instanceof Throwable cause ? cause : null);
@@ -223,8 +222,8 @@
     }
 
     /**
-     * Writes a whole message. The runnable is run by whoever writes the last byte, before anything that comes back can
-     * be read; it may only post or set a flag meant for that. A failure ends the connection, through the mailbox.
+     * Writes a complete message. The callback runs in the thread that writes the last byte, before any response can be
+     * read; it may only post, or set a volatile flag. A failure closes the connection, by a message to the mailbox.
      */
     protected void write(MetaData message, byte[] body, Runnable written) {
         ByteBuffer content = body.length == 0 ? null : ByteBuffer.wrap(body);
@@ -240,12 +239,12 @@
         }
     }
 
-    /** Whether a write has failed, which proves that its last byte has not gone. */
+    /** Whether a write has failed, which proves that its last byte was not sent. */
     protected boolean hasWriteFailed() {
         return writeFailed;
     }
 
-    /** Writes bytes that are a message already, or a part of one; as above. One write at a time. */
+    /** Writes bytes of an encoded message, with the callback as above; only one write may be pending at a time. */
     protected void write(ByteBuffer bytes, Runnable written) {
         getEndPoint().write(Callback.from(written::run, cause -> mailbox.post(() -> end(cause))), bytes);
     }
@@ -262,7 +261,8 @@
                     return header;
                 }
                 if (result != HttpGenerator.Result.HEADER_OVERFLOW || size > 4 * MAX_HEADER) {
-                    throw new IllegalStateException("the generator wants " + result);
+                    throw new IllegalStateException(
+                            "cannot generate the message head: HttpGenerator returned " + result);
                 }
             } catch (IOException e) {
                 throw new IllegalStateException(e);
@@ -270,7 +270,7 @@
         }
     }
 
-    // What most peers' messages do not need.
+    // Defaults for parser events that most subclasses don't use.
 
     @Override
     public boolean contentComplete() {
--- a/src/main/java/barrowshore/net/JsonObjectBuffer.java
+++ b/src/main/java/barrowshore/net/JsonObjectBuffer.java
@@ -6,9 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into JSON objects wherever its pieces and its lines begin and end: an object may be indented over many
- * lines, and what lies between two is blank. It owns the bytes of the object not yet whole, up to a bound; it must never
- * hand on a part of an object, nor judge what is in one.
+ * Splits a byte stream into JSON objects, which may span lines and reads and are separated by white space. It buffers
+ * the incomplete object up to a maximum size, passes on complete objects only, and doesn't validate their content.
  */
 public final class JsonObjectBuffer {
     private final int maxObjectBytes;
@@ -21,13 +20,13 @@
         this.maxObjectBytes = maxObjectBytes;
     }
 
-    /** Adds a piece; each object that it completes goes to the taker. What stands between objects must be blank. */
+    /** Adds bytes and passes each completed object to the consumer; rejects anything but white space between objects. */
     public void add(ByteBuffer bytes, Consumer<String> consumer) {
         while (bytes.hasRemaining()) {
             byte b = bytes.get();
             if (depth == 0 && b != '{') {
                 if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
-                    throw new IllegalArgumentException("not JSON: an object was to begin at '" + (char) b + "'");
+                    throw new IllegalArgumentException("not JSON: expected '{' but found '" + (char) b + "'");
                 }
                 continue;
             }
@@ -41,14 +40,14 @@
         }
     }
 
-    /** Whether an object has begun that is not whole yet. */
+    /** Whether an object has begun but is incomplete. */
     public boolean isOpen() {
         return depth > 0;
     }
 
     private void append(byte b) {
         if (length == maxObjectBytes) {
-            throw new IllegalArgumentException("an object is longer than " + maxObjectBytes + " bytes");
+            throw new IllegalArgumentException("JSON object exceeds " + maxObjectBytes + " bytes");
         }
         if (length == buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.min(maxObjectBytes, 2 * length));
--- a/src/main/java/barrowshore/net/LineBuffer.java
+++ b/src/main/java/barrowshore/net/LineBuffer.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into lines wherever its pieces begin and end. It owns the bytes of the line not yet whole, up to a
- * bound, and must never hand on a part of a line.
+ * Splits a byte stream into lines, which may span reads. It buffers the incomplete line up to a maximum size and passes
+ * on complete lines only.
  */
 public final class LineBuffer {
     private final int maxLineBytes;
@@ -18,7 +18,7 @@
         this.maxLineBytes = maxLineBytes;
     }
 
-    /** Adds a piece; each line that it completes goes to the taker, without its end. */
+    /** Adds bytes and passes each completed line, without its terminator, to the consumer. */
     public void add(ByteBuffer bytes, Consumer<String> consumer) {
         while (bytes.hasRemaining()) {
             byte b = bytes.get();
@@ -26,7 +26,7 @@
                 end(consumer);
             } else {
                 if (length == maxLineBytes) {
-                    throw new IllegalStateException("a line is longer than " + maxLineBytes + " bytes");
+                    throw new IllegalStateException("line exceeds " + maxLineBytes + " bytes");
                 }
                 if (length == buffer.length) {
                     buffer = Arrays.copyOf(buffer, Math.min(maxLineBytes, 2 * length));
@@ -36,7 +36,7 @@
         }
     }
 
-    /** What is held is a whole line, though nothing ends it: its message is complete. */
+    /** Passes on the buffered bytes as a line; for a message that ends without a line terminator. */
     public void end(Consumer<String> consumer) {
         String line = new String(buffer, 0, length, StandardCharsets.UTF_8);
         length = 0;
--- a/src/main/java/barrowshore/net/Mailbox.java
+++ b/src/main/java/barrowshore/net/Mailbox.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The mailbox of an actor: messages posted from any thread run one at a time, in order, on the shared pool. It owns the
- * promise that an actor's state is touched by one thread at a time; it must never run a message in the caller's stack,
- * and never let an exception of one message lose the next.
+ * The mailbox of an actor: runs messages posted by any thread one at a time and in order, so that only one thread
+ * at a time touches the actor's state. It runs them on the shared pool, never on the caller's stack, and an exception
+ * in one message doesn't affect the next.
  */
 public final class Mailbox implements Runnable {
     private static final System.Logger LOG = System.getLogger(Mailbox.class.getName());
-    /** Messages run in one turn, so that a busy actor lets the others at the pool. */
+    /** After so many messages a busy actor queues again behind the other tasks of the pool. */
     private static final int MAX_MESSAGES_PER_RUN = 64;
 
     private final String name;
@@ -33,12 +33,12 @@
         }
     }
 
-    /** A pool that has been shut down means that the whole scheduler has stopped at once, and this with it. */
+    /** The pool rejects only after its shutdown, when the whole scheduler has stopped and the message can be dropped. */
     private void submitRun() {
         try {
             pool.execute(this);
         } catch (RejectedExecutionException e) {
-            LOG.log(Level.DEBUG, "a message to " + name + " came after the end", e);
+            LOG.log(Level.DEBUG, "mailbox of " + name + ": message dropped, the pool has been shut down", e);
         }
     }
 
@@ -53,8 +53,8 @@
             processed++;
             try {
                 message.run();
-            } catch (Throwable e) { // guards the actor: a message that dies must not wedge the mailbox
-                LOG.log(Level.ERROR, "a message to " + name + " failed", e);
+            } catch (Throwable e) { // a failing message must not block the mailbox
+                LOG.log(Level.ERROR, "mailbox of " + name + ": message failed; continuing with the next", e);
             }
         }
         if (pendingCount.addAndGet(-processed) > 0) {
--- a/src/main/java/barrowshore/request/JobRequest.java
+++ b/src/main/java/barrowshore/request/JobRequest.java
@@ -3,12 +3,12 @@
 import java.util.function.Consumer;
 
 /**
- * What any client protocol hands to the desk that serves it, and the one final answer that it takes back. These records
- * own no resource and know no protocol: a second protocol beside HTTP brings its requests in this form. Times in
- * microseconds of the scheduler's clock; {@code deadlineMicros} is when the answer must have been given;
- * {@code repeatWindowMicros}: for how long after a send that may have run it may be sent again, since that does no harm
- * or its repeats are dropped; {@link #NO_REPEAT_LIMIT}, or 0: not at all;
- * {@code key}: what servers know its repeats by, null if none.
+ * A job request in the protocol-independent form in which every client protocol submits it to a {@link RequestHandler}.
+ *
+ * @param deadlineMicros when the client must have its answer, by the scheduler's clock
+ * @param repeatWindowMicros for how long after an attempt that may have run the request may be sent again, because
+ *     repeats are harmless or servers drop them; {@link #NO_REPEAT_LIMIT} for ever, 0 not at all
+ * @param key the key by which servers recognize repeats, or null
  */
 public record JobRequest(
         String id,
@@ -22,15 +22,15 @@
         String target,
         String key,
         byte[] body) {
-    /** A window without an end: repeats do no harm. */
+    /** Value of {@code repeatWindowMicros} for requests whose repeats are always harmless. */
     public static final long NO_REPEAT_LIMIT = Long.MAX_VALUE;
 
-    /** Whether a repeat can be harmless at all. */
+    /** Whether the request may ever be sent again after an attempt that may have run. */
     public boolean repeatable() {
         return repeatWindowMicros > 0;
     }
 
-    /** The same request with its body. */
+    /** Returns a copy of this request with the given body. */
     public JobRequest withBody(byte[] newBody) {
         return new JobRequest(
                 id,
@@ -49,47 +49,47 @@
     /** The final answer to a request. */
     public sealed interface Answer permits Served, Rejection, Failed, IdInUse {}
 
-    /** A server's result. */
+    /** The job ran; carries the server's result. */
     public record Served(byte[] result) implements Answer {}
 
-    /** Harmless to try again, after so long. */
+    /** No result; submitting the request again after the given time is harmless. */
     public record Rejection(long retryAfterMicros) implements Answer {}
 
-    /** No promise; late: its time ran out. */
+    /** No result, and the job may have run; {@code timedOut} if the deadline passed. */
     public record Failed(boolean timedOut) implements Answer {}
 
-    /** The request never came to the module: its id is in use. */
+    /** The request was not accepted because its id is in use. */
     public record IdInUse(String reason) implements Answer {}
 
-    /** Who waits for the answer; may be called from any thread. */
+    /** The client that waits for an answer; its methods may be called from any thread. */
     public interface Client {
-        /** Takes the final answer; called once. */
+        /** Receives the final answer; called once. */
         void answer(Answer answer);
 
-        /** Whether it is known to have closed its connection or cancelled its request. */
+        /** Whether the client is known to have closed its connection or cancelled its request. */
         default boolean isGone() {
             return false;
         }
 
         /**
-         * Looks whether its connection still stands, also where an event about that is yet to come; then runs the
-         * message, which may only post. {@link #isGone} tells what was found.
+         * Checks whether the connection is still open, without waiting for an event that says so, then runs the callback,
+         * which may only post. Afterwards {@link #isGone} returns the result.
          */
         default void checkConnection(Runnable then) {
             then.run();
         }
     }
 
-    /** Where a client's side hands its requests in; each opened one gets its answer once, unless the client goes first. */
+    /** Accepts requests from client protocols; each gets exactly one answer unless its client leaves first. */
     public interface RequestHandler {
         void submit(JobRequest request, Client client);
 
         void clientGone(JobRequest request);
 
-        /** A job of the class was turned down before it became a request. */
+        /** Counts a job of the class that was rejected before it became a request. */
         void countTurnedAway(int jobClass);
 
-        /** Answers whether requests can be served. */
+        /** Passes to the callback whether requests can be served now. */
         void askReady(Consumer<Boolean> callback);
     }
 }
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -32,49 +32,49 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One server: an actor that carries attempts and probes to it over its own pool of connections. It owns those
- * connections, each from its dial to its end, and reports exactly one end of each attempt and probe. It must never
- * choose a server, never send anything twice, and never say that a request did not run without proof: refused, never
- * up, or broken before the last byte was written.
+ * The actor that sends attempts and probes to one server. It owns the server's connection pool, each connection from
+ * its dial to its close, and reports exactly one outcome per attempt and probe. It doesn't choose servers and sends
+ * nothing twice. It reports a request as not run only with proof: the server refused it, the connection never came up,
+ * or it broke before the last byte was written.
  */
 public final class Server {
     private static final String LOAD_HEADER = "X-Server-Load";
     private static final String NOT_PROCESSED_HEADER = "X-Not-Processed";
-    /** Descriptors left to the service discovery: busy servers must not keep it from being heard. */
+    /** Descriptors that dials to servers leave free, so that service discovery can still connect under load. */
     private static final int DESCRIPTORS_RESERVED_FOR_DISCOVERY = 2;
-    /** Idle connections kept: only probes and what may run twice use them. */
+    /** Idle connections kept per server; only probes and repeatable requests reuse them. */
     private static final int MAX_IDLE_CONNECTIONS = 4;
 
     private static final byte[] NO_BODY = new byte[0];
-    /** How long an answer's tail may take after its last line, before the connection is given up. */
+    /** How long the rest of an answer may take once its outcome is known, before the connection is closed. */
     private static final long ANSWER_END_TIMEOUT_MILLIS = 1000;
-    /** Lines and bytes of one answer: far more than a job tells of itself, and few enough to be read for nothing. */
+    /** Bounds on the lines and bytes of one answer: far above what a job sends, yet cheap to read in vain. */
     private static final int MAX_ANSWER_LINES = 1000;
 
     private static final int MAX_ANSWER_BYTES = 1 << 20;
-    /** A result of 64 KiB with every byte escaped, and what stands round it. */
+    /** Room for a result of 64 KiB with every byte escaped, plus the JSON fields around it. */
     private static final int MAX_LINE_BYTES = 400 * 1024;
 
-    /** More requests, or free slots, than any machine has. */
+    /** Upper bound of a plausible load value: more requests or free slots than any machine has. */
     private static final double MAX_LOAD_VALUE = 1e5;
 
-    /** One attempt, as the module actor knows it; it gets one end. */
+    /** One attempt, implemented by the module actor; {@link #ended} is called exactly once unless it is abandoned. */
     public interface Attempt {
         JobRequest request();
 
-        /** How long the scheduler will wait, in microseconds from now. */
+        /** How much longer the scheduler waits for the result. */
         long timeLeftMicros();
 
         /**
-         * Whether its first byte may still go: somebody waits for it, and its time is not up, nor that in which a repeat is
-         * harmless.
+         * Whether sending may still begin: a client is waiting, and neither the deadline nor the window in which a repeat
+         * is harmless has passed.
          */
         boolean mayBegin();
 
-        /** Looks whether its client is still there, then runs the message, from any thread; it may only post. */
+        /** Checks whether the client is still connected, then runs the callback, in any thread; it may only post. */
         void checkClient(Runnable then);
 
-        /** Its last byte has been written; called by the writer, so it may only post. */
+        /** The last byte of the request has been written; called in the writing thread, so it may only post. */
         void requestWritten();
 
         void noteReceived(Note note, double share);
@@ -82,7 +82,7 @@
         void ended(Status status, Load load, byte[] result);
     }
 
-    /** Takes the one end of a probe. */
+    /** Receives the outcome of a probe, once. */
     public interface Probe {
         void ended(Status status, Load load);
     }
@@ -112,13 +112,14 @@
         this.connectionManager = connectionManager;
         this.timers = timers;
         this.maxConnections = maxConnections;
-        // Guards against the stale-pool race: what is written to a connection that the server is closing may
-        // have run, so an idle one is retired at half the time after which the server closes it.
+        // A request written to a connection that the server is just closing may have run. So idle connections are
+        // closed
+        // after half of the server's keep-alive time.
         this.idleTimeoutMillis = Math.max(1, keepAliveMicros / 2000);
         this.mailbox = new Mailbox("server " + uid, pool);
     }
 
-    /** What the service discovery says of it now. */
+    /** Takes over the server's latest entry from the server list. */
     public void update(ServerList.Entry entry) {
         mailbox.post(() -> {
             boolean moved = entry.address() != null && !entry.address().equals(address);
@@ -131,7 +132,7 @@
         });
     }
 
-    /** The service discovery no longer lists it. */
+    /** The server list no longer has this server: nothing new is sent to it. */
     public void unlisted() {
         mailbox.post(() -> {
             state = ServerList.State.GONE;
@@ -139,7 +140,7 @@
         });
     }
 
-    /** Connections to a former address or life, or to one that drains, end: idle ones now, those at work after it. */
+    /** After a restart, a move or the start of a drain: closes idle connections now, busy ones after their exchange. */
     private void retireConnections() {
         connections.forEach(connection -> connection.retired = true);
         while (!idleConnections.isEmpty()) {
@@ -155,7 +156,7 @@
         });
     }
 
-    /** The attempt is no longer waited for; its end, if still to come, is of no interest. */
+    /** Drops the attempt and closes its connection; no outcome is reported any more. */
     public void abandon(Attempt attempt) {
         mailbox.post(() -> {
             Exchange exchange = exchangesByAttempt.remove(attempt);
@@ -168,7 +169,7 @@
         });
     }
 
-    /** Nobody waits for the attempt any more: if its first byte has not gone, it does not go. */
+    /** Ends the attempt as {@link Status#NOT_SENT} if none of it has been sent yet. */
     public void cancelIfUnsent(Attempt attempt) {
         mailbox.post(() -> {
             Exchange exchange = exchangesByAttempt.get(attempt);
@@ -197,8 +198,8 @@
     }
 
     private void startExchange(Exchange exchange) {
-        // Guards what must not run twice: a kept connection may be reset just as it is written to, which proves nothing
-        // and fails the request. A fresh one that does not come up proves that it never ran.
+        // A request that must not run twice gets a new connection: if that fails to connect, the request never ran. A
+        // reused one may be reset while being written to, which proves nothing and fails the request.
         ServerConnection connection = exchange.mayReuseConnection() ? idleConnections.pollLast() : null;
         if (connection != null) {
             connection.reserve(exchange);
@@ -209,7 +210,7 @@
             return;
         }
         if (connections.size() + pendingDials >= maxConnections) {
-            exchange.end(Status.NOT_SENT, null, null); // shed before descriptors run out; it has not been sent
+            exchange.end(Status.NOT_SENT, null, null); // rejected before descriptors run out
             return;
         }
         pendingDials++;
@@ -234,7 +235,7 @@
         }
     }
 
-    /** What a connection carries: an attempt or a probe, and whether its one end has been told. */
+    /** The exchange of one request and its answer, for an attempt or a probe; it reports its outcome once. */
     private final class Exchange {
         final Attempt attempt;
         final Probe probe;
@@ -242,12 +243,11 @@
         ServerConnection connection;
         boolean ended;
         /**
-         * Whether the last byte has been written. Set by the writer itself, the one thing here that does not come by
-         * the mailbox: it once did, and a reset read in the same turn as the write overtook it, so that a request
-         * written whole was reported as never run.
+         * Whether the last byte has been written. Set directly by the writing thread: if posted to the mailbox, it could
+         * be overtaken by a reset read right after the write, and a fully written request be reported as never run.
          */
         volatile boolean fullyWritten;
-        /** Whether a part of it was left for another thread to write: then nothing but a failed write proves anything. */
+        /** Whether another thread finishes the write: then only a failed write proves that the request did not run. */
         boolean writePending;
 
         Exchange(Attempt attempt, Probe probe) {
@@ -274,31 +274,31 @@
         }
     }
 
-    /** A load report; what it does not tell is NaN, what is no report is null. */
+    /** Parses a load report: missing or invalid values become NaN; returns null if it is no report at all. */
     static Load parseLoad(Object json) {
         return json instanceof Map<?, ?> map && !map.isEmpty()
                 ? new Load(loadValue(map, "inflight"), loadValue(map, "queue"), loadValue(map, "x0"))
                 : null;
     }
 
-    /** A figure that no machine can have is none: it must not poison what is learned. */
+    /** Returns NaN for an impossible value, which would distort the learned load statistics. */
     private static double loadValue(Map<?, ?> map, String name) {
         double value = map.get(name) instanceof Number n ? n.doubleValue() : Double.NaN;
         return value >= 0 && value <= MAX_LOAD_VALUE ? value : Double.NaN;
     }
 
-    /** One connection: idle, or carrying one piece of work. */
+    /** One connection to the server: idle, reserved for an exchange, or carrying one. */
     private final class ServerConnection extends HttpLink implements HttpParser.ResponseHandler {
         private Exchange exchange;
-        /** What it will carry unless something ends first, while is looked whether the client is still there. */
+        /** The exchange to carry next, while its client's connection is being checked; else null. */
         private Exchange reservedFor;
-        /** Whether it has stood idle. */
+        /** Whether the connection has been in the idle pool. */
         private boolean wasIdle;
 
         private LineBuffer lineBuffer;
         private StringBuilder answerBody;
         private boolean retired;
-        /** Whether an earlier piece of work was carried here: then what comes may be a late answer to that. */
+        /** Whether an earlier exchange used this connection: then an answer may be a late one to that. */
         private boolean usedBefore;
 
         private int linesRead, bytesRead;
@@ -321,7 +321,7 @@
             reserve(first);
         }
 
-        /** The connection is the work's, whose client is asked after once more: its turn may have been long in coming. */
+        /** Reserves this connection and checks the client again, which may have left while the attempt waited. */
         void reserve(Exchange next) {
             reservedFor = next;
             setTimeLimit(0);
@@ -334,13 +334,13 @@
 
         private void beginExchange(Exchange next) {
             if (reservedFor != next) {
-                return; // the connection has ended meanwhile
+                return; // this connection was closed in the meantime
             }
             reservedFor = null;
             boolean newConnection = !wasIdle;
             if (next.ended || !mayBegin(next)) {
-                next.end(Status.NOT_SENT, null, null); // our reason: it says nothing of the server
-                returnToPool(); // the next attempt can have it
+                next.end(Status.NOT_SENT, null, null); // a local decision that doesn't count against the server
+                returnToPool();
             } else if (wasIdle && (retired || brokenWhileIdle())) {
                 closeNow();
                 startExchange(next);
@@ -352,7 +352,7 @@
             }
         }
 
-        /** Guards the drain rule: connecting took time, so the state is looked at again as the first byte goes. */
+        /** Checked right before the first byte: the server may have begun to drain while the connection came up. */
         private boolean mayBegin(Exchange next) {
             return state == ServerList.State.READY && (next.attempt == null || next.attempt.mayBegin());
         }
@@ -421,7 +421,7 @@
         @Override
         protected void read() {
             if (exchange == null && !isClosed() && brokenWhileIdle()) {
-                closeNow(); // bytes or an end where nothing was asked: notice it at once
+                closeNow(); // unsolicited bytes, or the server has closed an idle connection
                 return;
             }
             super.read();
@@ -446,14 +446,14 @@
         @Override
         public boolean headerComplete() {
             if (statusCode < 200) {
-                return false; // an interim answer: the answer is still to come
+                return false; // an interim (1xx) response; the final one follows
             }
             if (exchange.attempt != null && statusCode == 200) {
                 lineBuffer = new LineBuffer(MAX_LINE_BYTES);
             } else {
                 answerBody = new StringBuilder();
                 if (exchange.attempt != null && !provesJobDidNotRun()) {
-                    endExchange(Status.ERROR, headerLoad, null); // its body, which may never end, says nothing more
+                    endExchange(Status.ERROR, headerLoad, null); // don't wait for the body: it may never end
                 } else {
                     setTimeLimit(ANSWER_END_TIMEOUT_MILLIS);
                 }
@@ -462,8 +462,8 @@
         }
 
         /**
-         * Whether the answer says, and proves, that the job did not run. On a connection that was used before, it may be a
-         * second answer to the job before, which proves nothing where repeats do harm.
+         * Whether the answer proves that the job did not run. On a reused connection it may be a second answer to the
+         * previous job, so there it is proof only if repeats are always harmless.
          */
         private boolean provesJobDidNotRun() {
             return notProcessed
@@ -475,7 +475,8 @@
         public boolean content(ByteBuffer bytes) {
             bytesRead += bytes.remaining();
             if (bytesRead > MAX_ANSWER_BYTES) {
-                throw new IllegalStateException("an answer is longer than " + MAX_ANSWER_BYTES + " bytes");
+                throw new IllegalStateException(
+                        "answer exceeds " + MAX_ANSWER_BYTES + " bytes; closing the connection");
             }
             if (lineBuffer != null) {
                 lineBuffer.add(bytes, this::handleLine);
@@ -487,17 +488,17 @@
 
         private void handleLine(String line) {
             if (++linesRead > MAX_ANSWER_LINES) {
-                throw new IllegalStateException("an answer has over " + MAX_ANSWER_LINES + " lines");
+                throw new IllegalStateException(
+                        "answer exceeds " + MAX_ANSWER_LINES + " lines; closing the connection");
             }
             if (line.isBlank() || exchange.ended) {
                 return;
             }
             if (!(Json.parseOrNull(line) instanceof Map<?, ?> map)
                     || !exchange.attempt.request().id().equals(map.get("id"))) {
-                // Not an answer to this request: nothing on this connection can be trusted any more. It is closed
-                // before its end
-                // is told, as by any exception here: a repeat that overtook the close would be a second copy.
-                throw new IllegalStateException("an answer to another request");
+                // The connection can't be trusted any more. The exception closes it before the outcome is reported: a
+                // retry sent before the close would be a second copy.
+                throw new IllegalStateException("answer doesn't match the request's id; closing the connection");
             }
             Load reportedLoad = parseLoad(map.get("load"));
             switch (String.valueOf(map.get("state"))) {
@@ -524,13 +525,14 @@
         public boolean messageComplete() {
             if (statusCode < 200) {
                 if (++linesRead > MAX_ANSWER_LINES) {
-                    throw new IllegalStateException("over " + MAX_ANSWER_LINES + " interim answers");
+                    throw new IllegalStateException(
+                            "more than " + MAX_ANSWER_LINES + " interim responses; closing the connection");
                 }
                 parser.reset();
                 return true;
             }
             if (lineBuffer != null) {
-                // A stream without a last line is a reset: the job may have run.
+                // The stream ended without a final state: the job may have run.
                 exchange.end(Status.RESET, headerLoad, null);
             } else if (exchange.probe != null) {
                 Load reportedLoad = parseLoad(Json.parseOrNull(answerBody.toString()));
@@ -561,13 +563,13 @@
                 Exchange next = reservedFor;
                 reservedFor = null;
                 if (wasIdle && !next.ended) {
-                    startExchange(next); // nothing of it was written here
+                    startExchange(next); // none of it has been sent
                 } else {
                     next.end(Status.CONNECT_FAILED, null, null);
                 }
             }
             if (exchange != null) {
-                // Only a request whose last byte was not written is known not to have run.
+                // Only a request whose last byte was not written is certain not to have run.
                 exchange.end(
                         exchange.fullyWritten || exchange.writePending && !hasWriteFailed()
                                 ? Status.RESET
--- a/src/main/java/barrowshore/servers/ServiceDiscovery.java
+++ b/src/main/java/barrowshore/servers/ServiceDiscovery.java
@@ -28,48 +28,49 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The service discovery: discovery's list of servers, followed by a watch that is reopened whenever it breaks or falls
- * silent, at an address that may change while it runs. An actor; it owns the watch's connection, its timers and the
- * version of the list last heard. It must never judge a server: what it reads goes on to the module actor whole,
- * in order, and it must never ask one address for what has changed since another's version.
+ * The actor that follows the server list of service discovery: it reads the full list, then watches for changes. It
+ * owns the watch's connection, its timers and the revision last received, and reopens a watch that breaks or falls
+ * silent. Every update goes to the listener unfiltered and in order. The address may change at run time; a revision
+ * is never used at another address than the one that sent it.
  */
 public final class ServiceDiscovery {
     private static final System.Logger LOG = System.getLogger(ServiceDiscovery.class.getName());
     private static final int MAX_OBJECT_BYTES = 1 << 20;
     private static final long MIN_PAUSE_MILLIS = 50;
     /**
-     * Shares of the time after which nothing new may go to a server that leaves: what discovery has after a silence counts
-     * as told at once, and a call made just before its return is given up, the next made, and its answer taken, within it.
+     * Fractions of the grace period, which is how long a terminating server may still get new jobs. Once discovery is back
+     * after an outage, the scheduler is deemed informed of all that it knows. So within the grace period a call made just
+     * before its return must time out, and the next be made and answered.
      */
     private static final long MAX_PAUSE_GRACE_DIVISOR = 10, ANSWER_TIMEOUT_GRACE_DIVISOR = 4;
-    /** The longest pause where that time is long: what discovery has counts as told 6 s later, whatever the settings say. */
+    /** Upper bound however long the grace period: the scheduler is deemed informed 6 s after discovery has a change. */
     private static final long MAX_PAUSE_MILLIS = 500;
-    /** The same where discovery is up but gives no list, and while we have none either: then no server is at risk. */
+    /** Longest pause while discovery refuses calls and no list is in use: then no job can go to a wrong server. */
     private static final long MAX_BUSY_PAUSE_MILLIS = 1000;
     /**
-     * An empty line comes every 2 s; one that is missed is a watch that fell silent. It has to be noticed and opened anew
-     * well within the 6 s after which what it missed counts as told.
+     * A watch gets an empty line every 2 s as a heartbeat; without one it has failed silently. It must be reopened well
+     * within the 6 s after which the scheduler is deemed informed of any change it missed.
      */
     private static final long SILENCE_TIMEOUT_MILLIS = 3000;
     /**
-     * The agent answers at once, or else discovery is silent just now. Short, since a call made while it was silent may
-     * stay unanswered once it is back, and from then on all that it has counts as told.
+     * Bounds on the wait for an answer. The discovery agent answers at once or is unavailable. The wait is short because a
+     * call made during an outage may stay unanswered after it, when the scheduler is already deemed informed.
      */
     private static final long MAX_ANSWER_TIMEOUT_MILLIS = 500, MIN_ANSWER_TIMEOUT_MILLIS = 100;
     /**
-     * How often that is doubled, call after call without a word, while there is no list at all: then no server is at risk,
-     * and a discovery that is slow to answer everybody must not have each call given up before its answer.
+     * How often the answer timeout may double after unanswered calls while there is no list at all. Then no job can go to a
+     * wrong server, and a slow discovery must not have every call abandoned just before its answer.
      */
     private static final int MAX_ANSWER_TIMEOUT_DOUBLINGS = 2;
-    /** How long the whole list may take from the call to its last byte, as long as more of it keeps coming. */
+    /** From the call to the last byte of a full list, even if more of it keeps arriving. */
     private static final long FULL_LIST_TIMEOUT_MILLIS = 3000;
-    /** How long a dial may take where the settings let connections take longer: a connect that was lost is made anew. */
+    /** Caps the configured connect timeout, so that a dial whose packets were lost is soon repeated. */
     private static final long DIAL_TIMEOUT_MILLIS = 1000;
-    /** How long a start waits for discovery before the list known from before will do. */
+    /** How long a starting scheduler waits for discovery before it falls back to the list from its previous run. */
     private static final long STARTUP_WAIT_MILLIS = 1000;
     /**
-     * The same where discovery answers, but with no list. It is up, so what it has may count as told; but it gives its list
-     * to nobody, and a scheduler that is never ready serves nobody.
+     * The same while discovery answers without a list. It is up, so the scheduler may be deemed informed of what it knows;
+     * but it gives the list to nobody, and a scheduler that never gets ready serves nobody.
      */
     private static final long BUSY_STARTUP_WAIT_MILLIS = 4000;
 
@@ -77,51 +78,52 @@
     private final Scheduler timers;
     private final ZoneKindNames names;
     private final Consumer<Update> listener;
-    private final Runnable onNoNewList;
+    private final Runnable onStartupWaitEnded;
     private final Mailbox mailbox;
-    /** Draws each pause: processes restarted together must not ask again in step. */
+    /** Randomizes pauses, so that schedulers restarted together don't call in step. */
     private final SplittableRandom jitter = new SplittableRandom();
 
     private InetSocketAddress address;
-    /** Counts the addresses: what belongs to an earlier one is told by it. */
+    /** Incremented with each address change; identifies what belongs to an earlier address. */
     private int addressGeneration;
-    /** Counts the dials: one that was given up may still come up. */
+    /** Number of the latest dial; identifies an abandoned one that connects late. */
     private int dialCount;
-    /** Whether we have a list that this address counts from; until then its versions mean nothing to us. */
+    /** Whether {@link #revision} is one that the present address can send changes since. */
     private boolean hasBaseList;
 
     private long revision;
-    /** The list that the process was started with, until a list is heard; null then. What comes first changes it. */
+    /** The list from the previous run, to which the first changes are applied; null once an update has come. */
     private Update previousList;
-    /** 0: the next call is made at once, since the watch before it had been up for a while. */
+    /** Base of the next pause; 0 after a watch that had been up for a while: then the next call is made at once. */
     private long pauseMillis = MIN_PAUSE_MILLIS;
-    /** Whether a call at the present address is out that has had no word yet. */
+    /** The watch whose call to the present address is still unanswered, or null. */
     private Watch unansweredWatch;
 
-    /** Whether a dial is under way, or the next one waits for the end of a pause. */
     private boolean dialing, pausing;
-    /** Whether the process was started with a list known from before. */
     private final boolean startedWithPreviousList;
-    /** Whether jobs are sent by a list, of whatever address or known from before. */
+    /** Whether jobs are being sent by some list, from discovery at any address or from the previous run. */
     private boolean listInUse;
-    /** How many calls on end have been given up without a word. */
+    /** Consecutive calls that timed out without any answer. */
     private int unansweredCalls;
-    /** How long a call may go without a word, and the longest that the next one waits after it. */
+
     private long answerTimeoutMillis, maxPauseMillis;
-    /** Whether the last call was answered with no list, and whether any was before the first list. */
+    /** Whether the last call, or any so far, was answered with another status than 200. */
     private boolean lastCallRefused, everRefused;
-    /** Whether a start has waited long enough for a first list, and also for one from a discovery that is busy. */
+    /** Whether the startup waits are over; the first is cleared again once {@link #onStartupWaitEnded} has run. */
     private boolean startupWaitOver, busyStartupWaitOver;
-    /** What discovery asked for in a Retry-After, up to the longest pause; 0: nothing. */
+    /** From the last Retry-After header, up to {@link #MAX_BUSY_PAUSE_MILLIS}; 0 if there was none. */
     private long retryAfterMillis;
-    /** The watch whose changes count; it may be of the former address until the present one has told its list. */
+    /** The watch whose changes are applied: after an address change the former one, until the new one has sent a list. */
     private Watch activeWatch;
 
     /**
-     * known: the list as this scheduler had it last. Where it has entries, only what has changed since is asked for: many
-     * processes that start at once must not each ask an overbooked discovery for all of it. silent: discovery has told no
-     * list for a while, or has said nothing against the known list: that will do. Called only where no call is out that
-     * may yet be answered, and later where discovery answers, but with no list.
+     * Creates the actor; {@link #open} starts it.
+     *
+     * @param onStartupWaitEnded runs once the startup wait is over: the list known by then is to be used, be it only the
+     *     previous one. It doesn't run while a call may still be answered, and runs later if discovery refuses calls.
+     * @param previousList the list from the previous run. If it has entries, only changes since are requested, so that
+     *     many schedulers starting at once don't each ask an overloaded discovery for the full list.
+     * @param graceMicros how long a terminating server may still get new jobs
      */
     public ServiceDiscovery(
             InetSocketAddress address,
@@ -130,14 +132,14 @@
             ConnectionManager connectionManager,
             Scheduler timers,
             Consumer<Update> listener,
-            Runnable onNoNewList,
+            Runnable onStartupWaitEnded,
             Update previousList,
             long graceMicros) {
         this.startedWithPreviousList = !previousList.entries().isEmpty();
         this.previousList = startedWithPreviousList ? previousList : null;
         this.hasBaseList = this.previousList != null;
         this.revision = previousList.revision();
-        this.onNoNewList = onNoNewList;
+        this.onStartupWaitEnded = onStartupWaitEnded;
         this.connectionManager = connectionManager;
         this.timers = timers;
         this.address = address;
@@ -147,7 +149,6 @@
         deriveTimeouts(graceMicros);
     }
 
-    /** How soon, in microseconds, nothing new may go to a server that is told to leave. */
     private void deriveTimeouts(long graceMicros) {
         answerTimeoutMillis = Math.min(
                 MAX_ANSWER_TIMEOUT_MILLIS,
@@ -156,7 +157,7 @@
                 Math.min(MAX_PAUSE_MILLIS, Math.max(MIN_PAUSE_MILLIS, graceMicros / 1000 / MAX_PAUSE_GRACE_DIVISOR));
     }
 
-    /** Settings have changed; grace as at the start. */
+    /** Takes over a changed grace period. */
     public void setGrace(long graceMicros) {
         mailbox.post(() -> deriveTimeouts(graceMicros));
     }
@@ -169,7 +170,7 @@
                     if (unansweredWatch != null) {
                         unansweredWatch.readAvailable();
                     }
-                    reportNoNewListIfDue();
+                    endStartupWaitIfDue();
                 }),
                 STARTUP_WAIT_MILLIS,
                 TimeUnit.MILLISECONDS);
@@ -177,9 +178,9 @@
                 () -> mailbox.post(() -> {
                     busyStartupWaitOver = true;
                     boolean wasInUse = listInUse;
-                    reportNoNewListIfDue();
+                    endStartupWaitIfDue();
                     if (pausing && listInUse && !wasInUse) {
-                        dial(addressGeneration); // the pause was that of a scheduler that sends nothing
+                        dial(addressGeneration); // a pause set while no list was in use may be too long now
                     }
                 }),
                 BUSY_STARTUP_WAIT_MILLIS,
@@ -187,20 +188,20 @@
     }
 
     /**
-     * Guards the rule on what counts as told: a start that is short of processor time once took a list from before for
-     * the present one, though the answer lay in its socket.
+     * Ends the startup wait, but not while a call is unanswered: a starting process short of processor time could
+     * otherwise fall back to an outdated list although the answer is already in its socket buffer.
      */
-    private void reportNoNewListIfDue() {
+    private void endStartupWaitIfDue() {
         if (startupWaitOver && unansweredWatch == null && !dialing && (!everRefused || busyStartupWaitOver)) {
             startupWaitOver = false;
             listInUse |= startedWithPreviousList;
-            onNoNewList.run();
+            onStartupWaitEnded.run();
         }
     }
 
     /**
-     * Discovery is elsewhere from now on. The former watch is heard until the new address has told its list, which is
-     * another history: it is taken whole, since a version of the one says nothing about the other.
+     * Switches to discovery at another address. The former watch stays active until the new address has sent its list,
+     * which is read in full, since revisions of different addresses aren't comparable.
      */
     public void setAddress(InetSocketAddress newAddress) {
         mailbox.post(() -> {
@@ -241,14 +242,13 @@
         }
     }
 
-    /** A dial has failed or was given up; not so one that has come up, or was given up before. */
+    /** Schedules the next dial, unless this one has connected or failed already. */
     private void handleDialFailure(int dialNumber) {
         if (dialing && dialNumber == dialCount) {
             scheduleNextDial(addressGeneration);
         }
     }
 
-    /** How long the next call may go without a word. */
     private long nextAnswerTimeoutMillis() {
         boolean hasNoList = !listInUse && previousList == null;
         return hasNoList
@@ -259,9 +259,10 @@
     private void scheduleNextDial(int generation) {
         if (generation == addressGeneration) {
             dialing = false;
-            reportNoNewListIfDue();
-            // Between one and two pauses: fewer calls than in step, and none at once, where discovery is overbooked.
-            // One that has a list and is sending by it can't wait for long: what discovery has is told all the same.
+            endStartupWaitIfDue();
+            // The wait is between one and two pauses, so that schedulers don't call an overloaded discovery in step.
+            // With
+            // a list in use it stays short even if refused: the scheduler is deemed informed of changes all the same.
             long maxWaitMillis = lastCallRefused && !listInUse ? MAX_BUSY_PAUSE_MILLIS : maxPauseMillis;
             pauseMillis = Math.min(pauseMillis, maxWaitMillis);
             long waitMillis =
@@ -286,14 +287,12 @@
         }
     }
 
-    /** The connection of one watch; the first at an address asks for the whole list before it watches. */
+    /** A connection that watches for changes; without a base list it first requests the full list. */
     private final class Watch extends HttpLink implements HttpParser.ResponseHandler {
         private final int generation, dialNumber;
         private final JsonObjectBuffer objectBuffer = new JsonObjectBuffer(MAX_OBJECT_BYTES);
         private boolean readingFullList, refused, abandoned;
-        /** Counts the calls on this connection. */
         private int callCount;
-        /** Counts the limits set. */
         private int timeLimitCount;
 
         Watch(EndPoint endPoint, int generation, int dialNumber) {
@@ -307,7 +306,7 @@
         protected void onConnected() {
             if (generation != addressGeneration || !dialing || dialNumber != dialCount) {
                 abandoned = true;
-                closeNow(); // moved on, or given up, while it came up
+                closeNow(); // the address changed or the dial was abandoned in the meantime
                 return;
             }
             dialing = false;
@@ -315,17 +314,17 @@
             read();
         }
 
-        /** What has come may only not have been read yet. */
+        /** Reads what has arrived but not been processed yet. */
         private void readAvailable() {
             read();
         }
 
-        /** There is a sign of life from discovery. */
+        /** Restarts the time limit after a sign of life from discovery. */
         private void renewTimeLimit() {
             setTimeLimit(readingFullList ? answerTimeoutMillis : SILENCE_TIMEOUT_MILLIS);
         }
 
-        /** A list that keeps coming, but never ends. */
+        /** Closes the connection if its full list keeps arriving but hasn't ended in time. */
         private void abortFullList(int callNumber) {
             if (readingFullList && callNumber == callCount) {
                 read();
@@ -335,15 +334,15 @@
             }
         }
 
-        /** Nothing more will answer this call, or it has been answered. */
+        /** The call has been answered, or needs no further answer. */
         private void markAnswered() {
             if (unansweredWatch == this) {
                 unansweredWatch = null;
-                reportNoNewListIfDue();
+                endStartupWaitIfDue();
             }
         }
 
-        /** The watch is up and tells no change: what is known from before stands. Not for an answer that is only unread. */
+        /** An open watch that sends no change confirms the known list, unless a change has arrived but is still unread. */
         private void markAnsweredIfUnchanged() {
             if (unansweredWatch == this) {
                 read();
@@ -353,7 +352,7 @@
             }
         }
 
-        /** What has come by now is still read. */
+        /** Closes the connection unless reading what has arrived so far sets a new limit. */
         @Override
         protected void onTimeLimit() {
             int countBefore = timeLimitCount;
@@ -398,7 +397,7 @@
             refused = status != 200;
             renewTimeLimit();
             if (generation != addressGeneration) {
-                return; // what a former address has to say of itself means nothing at this one
+                return; // the status of a former address says nothing about this one
             }
             unansweredCalls = 0;
             lastCallRefused = refused;
@@ -424,7 +423,7 @@
                             MAX_BUSY_PAUSE_MILLIS,
                             Math.max(0, Long.parseLong(field.getValue().trim()) * 1000));
                 } catch (NumberFormatException e) {
-                    retryAfterMillis = 0; // a date, or nothing that can be read: the back-off decides
+                    retryAfterMillis = 0; // a date or invalid: the back-off decides
                 }
             }
         }
@@ -439,13 +438,14 @@
 
         @Override
         public boolean content(ByteBuffer bytes) {
-            // An object that has begun does not renew the limit: one that never ends is no sign of life.
-            // Of a whole list each piece renews it, up to a limit of its own: it may come in as many as it likes.
+            // In a watch, parts of an unfinished object don't renew the limit: the object might never end.
+            // In a full list every part does; the list as a whole has its own limit.
             if (readingFullList || !objectBuffer.isOpen()) {
                 renewTimeLimit();
             }
             if (activeWatch == this) {
-                pauseMillis = 0; // it has lived on: one that ends right after each first list is not opened at once
+                pauseMillis =
+                        0; // not after the first list already, lest a watch that ends right there be reopened in a loop
             }
             try {
                 objectBuffer.add(bytes, this::handleObject);
@@ -472,7 +472,7 @@
                 }
                 if (previousList != null && generation == addressGeneration && !update.full()) {
                     if (update.revision() < revision) {
-                        // Another history than the known list's: its changes say nothing.
+                        // Revisions went back, so the changes don't apply to the previous list: read the full list.
                         hasBaseList = false;
                         previousList = null;
                         closeNow();
@@ -494,7 +494,7 @@
             }
         }
 
-        /** What cannot be read is a gap: the watch starts over from the version before it. */
+        /** Closes the connection; the next watch starts from the last valid revision, so that nothing is skipped. */
         private void closeOnInvalidList(RuntimeException cause) {
             if (!isClosed()) {
                 LOG.log(Level.WARNING, "discovery sent what is no list: {0}", cause.getMessage());
--- a/src/test/java/barrowshore/net/ConnectionManagerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -284,7 +284,7 @@
                 assertThat(asker.result
                                 .handle((up, cause) -> cause.getMessage())
                                 .get())
-                        .isEqualTo("not up in 250 ms");
+                        .isEqualTo("not connected within 250 ms");
             } finally {
                 for (SocketChannel channel : queue) {
                     channel.close();
--- a/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
+++ b/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
@@ -49,7 +49,7 @@
     private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
     private ScriptedDiscovery discovery, otherDiscovery;
     private ServiceDiscovery client;
-    private boolean noNewListReported;
+    private boolean startupWaitEnded;
 
     @BeforeEach
     void open() throws Exception {
@@ -74,7 +74,7 @@
                 connectionManager,
                 time,
                 updates::add,
-                () -> noNewListReported = true,
+                () -> startupWaitEnded = true,
                 previousList,
                 graceMicros);
         client.open();
@@ -252,7 +252,7 @@
     void longRetryAfterIsIgnoredWhilePreviousListIsInUse() throws Exception {
         start(previousList(), GRACE_MICROS);
         Call call = awaitCall(discovery); // left unanswered until that list is in use
-        while (!noNewListReported) {
+        while (!startupWaitEnded) {
             time.advance(STEP_MILLIS);
             Call next = discovery.poll();
             call = next == null ? call : next;
@@ -273,11 +273,11 @@
         Call call = awaitCall(discovery);
         call.target();
         time.advance(ANSWER_TIMEOUT_MILLIS - STEP_MILLIS);
-        while (!noNewListReported) {
+        while (!startupWaitEnded) {
             call.refuse("3600");
             awaitEnd(call);
             call = null;
-            while (call == null && !noNewListReported) {
+            while (call == null && !startupWaitEnded) {
                 time.advance(STEP_MILLIS);
                 call = discovery.poll();
             }
@@ -391,7 +391,7 @@
         }
         awaitActor();
         time.advance(SILENCE_TIMEOUT_MILLIS - STEP_MILLIS);
-        assertThat(noNewListReported).isFalse();
+        assertThat(startupWaitEnded).isFalse();
         watch.chunk(list.substring(list.length() / 2));
         assertThat(awaitUpdate().entries())
                 .extracting(ServerList.Entry::state)
@@ -410,7 +410,7 @@
         }
         awaitActor();
         time.advance(1000);
-        assertThat(noNewListReported).isTrue();
+        assertThat(startupWaitEnded).isTrue();
     }
 
     @Test
