--- a/src/main/java/barrowshore/net/ConnectionManager.java
+++ b/src/main/java/barrowshore/net/ConnectionManager.java
@@ -302,7 +302,7 @@
         }
     }
 
-    /** Runs the callback once no accepted connection is open; to be called after {@link #stopListening}. */
+    /** Runs the callback once no accepted connection is open; for use after {@link #stopListening} is done. */
     public void whenClientsGone(Runnable callback) {
         clientsGoneCallback.set(callback);
         notifyIfClientsGone();
--- a/src/test/java/barrowshore/net/ClockTest.java
+++ b/src/test/java/barrowshore/net/ClockTest.java
@@ -5,7 +5,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** The scheduler's one clock. */
 class ClockTest {
     @Test
     void wallClockIsReadOnlyOnce() {
--- a/src/test/java/barrowshore/net/ConnectionManagerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is owed as a connection comes up or its socket stops listening, on loopback, with time that only the test moves. */
+/** Dialing, accepting and closing on loopback, with timers that only the test fires. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ConnectionManagerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -44,12 +44,12 @@
 
     private final ExecutorService pool = Executors.newFixedThreadPool(POOL_THREADS);
     private final ManualTimers timers = new ManualTimers();
-    /** What holds the selector waits for this. */
+    /** While up, it keeps the selector blocked after {@link #holdSelector}. */
     private final CountDownLatch selectorReleased = new CountDownLatch(1);
 
     private ConnectionManager connectionManager;
 
-    /** Timers that run only when the test says so, those of up to a second, in the order in which they were set. */
+    /** Runs timers of up to a second when the test says so, in the order in which they were set; ignores longer ones. */
     private static final class ManualTimers extends AbstractLifeCycle implements Scheduler {
         private final Queue<Runnable> pending = new ArrayDeque<>();
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A connection that does nothing. */
+    /** An outgoing connection that does nothing. */
     private static final class IdleConnection extends AbstractConnection {
         IdleConnection(EndPoint endPoint) {
             super(endPoint, Runnable::run);
@@ -86,7 +86,7 @@
         public void onFillable() {}
     }
 
-    /** The same on a client's connection. */
+    /** An accepted connection that does nothing. */
     private static final class IdleClientConnection extends AbstractConnection
             implements ConnectionManager.AcceptedConnection {
         IdleClientConnection(EndPoint endPoint) {
@@ -97,7 +97,7 @@
         public void onFillable() {}
     }
 
-    /** Says what became of a dial. */
+    /** Records the outcome of a dial. */
     private static final class RecordingDialHandler implements ConnectionManager.DialHandler {
         final CompletableFuture<EndPoint> result = new CompletableFuture<>();
         private final boolean throwsOnConnect;
@@ -133,7 +133,7 @@
         pool.shutdownNow();
     }
 
-    /** A socket that is closed resets all that wait in its queue, and what they have sent is lost without a word. */
+    /** Closing a listening socket would reset the connections in its backlog and silently lose what they have sent. */
     @Test
     void queuedConnectionsAreAcceptedBeforeListeningSocketCloses() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Above the clients' part those that wait are taken in one after the other, as others end. */
+    /** Above the budget, waiting connections are accepted one by one as others end. */
     @Test
     void connectionsAwaitingAPermitAreAcceptedToo() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
@@ -184,7 +184,7 @@
                 CountDownLatch ended = new CountDownLatch(1);
                 connectionManager.stopListening(server, ended::countDown);
                 served.close();
-                // Sweeps are counted: none may pass before the descriptor is back.
+                // The number of sweeps is limited: none may run before the descriptor is released.
                 awaitPoolIdle();
                 awaitTwoSelections();
                 EndPoint next = in.poll();
@@ -227,7 +227,7 @@
         }
     }
 
-    /** Whoever dialed hears of it, or waits for ever: discovery would be asked no more. */
+    /** Without the report the dialer would wait for ever, and discovery would never be called again. */
     @Test
     void failureOfImmediatelyConnectedDialIsReported() throws Exception {
         start(1, 1, IdleClientConnection::new);
@@ -235,15 +235,15 @@
             RecordingDialHandler broken = new RecordingDialHandler(true);
             SocketChannel channel = SocketChannel.open(server.getLocalSocketAddress());
             channel.configureBlocking(false);
-            connectionManager.accept(channel, broken); // as where the connect came up within the call
+            connectionManager.accept(channel, broken); // as when connect() succeeds immediately
             assertThat(broken.result.handle((up, cause) -> cause.getMessage()).get())
                     .isEqualTo("broken on purpose");
         }
     }
 
     /**
-     * Short of processor time, the limit on a connect runs out before the selector has looked at a connection that is long
-     * up: discovery was then taken for silent, and a list from before for the present one.
+     * In a process short of processor time the connect timeout may fire before the selector has noticed an established
+     * connection. Discovery was then taken for unavailable, and an outdated server list was used.
      */
     @Test
     void establishedConnectionIsNotTimedOut() throws Exception {
@@ -262,14 +262,14 @@
         }
     }
 
-    /** And what never comes up is given up when its time is over, and its descriptor can be had again. */
+    /** A dial that doesn't connect in time fails. */
     @Test
     void connectTimeoutFailsTheDial() throws Exception {
         start(1, 1, IdleClientConnection::new);
         try (ServerSocket full = new ServerSocket(0, 1, LOOPBACK)) {
             List<SocketChannel> queue = new ArrayList<>();
             try {
-                // A queue that is full answers no more: what is dialed beyond it stays pending.
+                // With a full backlog the kernel no longer answers: further dials stay pending.
                 SocketChannel last = null;
                 while (last == null || last.finishConnect()) {
                     last = SocketChannel.open();
@@ -294,8 +294,8 @@
     }
 
     /**
-     * The descriptor of a closed channel is held until the selector has dropped its key; a dial that took its place before
-     * that would be one more than the limit allows.
+     * The descriptor of a closed channel stays open until the selector has dropped its key; a dial before that would exceed
+     * the descriptor budget.
      */
     @Test
     void dialWaitsForReleaseOfClosedDescriptor() throws Exception {
@@ -322,7 +322,7 @@
         }
     }
 
-    /** One round of accepts may take long, and in it no closed channel's descriptor is released. */
+    /** A selector round with many accepts may take long, and releases no descriptors of closed channels until its end. */
     @Test
     void acceptWaitsForReleaseOfClosedDescriptor() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
@@ -349,7 +349,7 @@
         }
     }
 
-    /** A dial that failed after its channel was known to the selector holds its descriptor as long. */
+    /** A dial that fails after its channel was registered also keeps its descriptor until the next selection. */
     @Test
     void failedDialReturnsPermitOnlyAfterDescriptorRelease() throws Exception {
         start(1, 1, IdleClientConnection::new);
@@ -386,7 +386,7 @@
         }
     }
 
-    /** A selector that keeps looking for connections that it may not accept never rests. */
+    /** Otherwise the selector would spin on connections that it may not accept. */
     @Test
     void acceptInterestIsOffWhileClientPermitsAreExhausted() throws Exception {
         BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
@@ -415,7 +415,7 @@
         }
     }
 
-    /** Holds the selector's thread, which is one of the pool's, between two selections until {@link #selectorReleased} is down. */
+    /** Blocks the selector's thread, one of the pool's, between two selections until {@link #selectorReleased}. */
     private void holdSelector() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         connectionManager.getBean(ManagedSelector.class).submit(keys -> {
@@ -425,7 +425,7 @@
         held.await();
     }
 
-    /** Returns once the selector has been through two selections and what it was to do between them. */
+    /** Returns once the selector has completed two selections and the tasks between them. */
     private void awaitTwoSelections() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         ManagedSelector selector = connectionManager.getBean(ManagedSelector.class);
@@ -433,7 +433,7 @@
         done.await();
     }
 
-    /** Returns once all that was given to the pool has run, but for the selector's thread. */
+    /** Returns once all tasks submitted to the pool have run, except the selector's. */
     private void awaitPoolIdle() throws Exception {
         CyclicBarrier all = new CyclicBarrier(POOL_THREADS - 1);
         List<Future<Integer>> met = new ArrayList<>();
@@ -449,7 +449,7 @@
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException e) {
-            return true; // a reset ends it too
+            return true; // reset
         }
     }
 
--- a/src/test/java/barrowshore/net/HeldSelector.java
+++ b/src/test/java/barrowshore/net/HeldSelector.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.CountDownLatch;
 import org.eclipse.jetty.io.ManagedSelector;
 
-/** Holds a dialer's selector: what happens to its connections meanwhile is known to the kernel, but not to the program. */
+/** Blocks a connection manager's selector, so that the kernel knows of events on connections but the program doesn't. */
 public final class HeldSelector implements AutoCloseable {
     private final CountDownLatch released = new CountDownLatch(1);
 
-    /** Returns once the selector is held. */
+    /** Returns once the selector is blocked. */
     public HeldSelector(ConnectionManager dialer) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         dialer.getBean(ManagedSelector.class).submit(keys -> {
@@ -21,7 +21,7 @@
         held.await();
     }
 
-    /** Lets it go on; may be called again. */
+    /** Unblocks the selector; may be called repeatedly. */
     public void release() {
         released.countDown();
     }
--- a/src/test/java/barrowshore/net/HttpText.java
+++ b/src/test/java/barrowshore/net/HttpText.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** Reads the text of HTTP messages as a scripted peer gets them. */
+/** Reads HTTP messages as text, for scripted peers in tests. */
 public final class HttpText {
     private HttpText() {}
 
-    /** The first line, up to its CR, which is read too; what came if the stream ends before. */
+    /** Reads up to the first CR and returns the line without it, or what came before the end of the stream. */
     public static String firstLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = in.read(); b >= 0 && b != '\r'; b = in.read()) {
@@ -16,7 +16,7 @@
         return line.toString();
     }
 
-    /** The head of a message with the empty line after it; what came if the stream ends before. */
+    /** Reads a message head including the empty line, or what came before the end of the stream. */
     public static String head(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         for (int b = in.read(); b >= 0; b = in.read()) {
--- a/src/test/java/barrowshore/net/ManualTime.java
+++ b/src/test/java/barrowshore/net/ManualTime.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.util.component.AbstractLifeCycle;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Time that moves only when told; timers run in the mover's thread. */
+/** A scheduler whose time moves only by {@link #advance}; timers run in the thread that calls it. */
 public final class ManualTime extends AbstractLifeCycle implements Scheduler {
     private record Timer(long dueNanos, long order, Runnable run) {}
 
@@ -33,12 +33,12 @@
         return TimeUnit.NANOSECONDS.toMillis(nanos());
     }
 
-    /** How many timers have been set so far. */
+    /** Number of timers ever scheduled. */
     public synchronized long scheduled() {
         return scheduledCount;
     }
 
-    /** Moves time on; what is due by then runs at its own time. */
+    /** Advances time; each timer due by then runs at its own due time. */
     public void advance(long millis) {
         long until = nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
         for (Timer due = pollDue(until); due != null; due = pollDue(until)) {
--- a/src/test/java/barrowshore/servers/LoadReportTest.java
+++ b/src/test/java/barrowshore/servers/LoadReportTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What of a server's load report is taken: figures that a machine can have, and nothing else. */
+/** Parsing of a server's load report: only plausible values are accepted. */
 class LoadReportTest {
     @ParameterizedTest
     @ValueSource(strings = {"-0.5", "1e18", "1e999", "\"4\"", "null", "true", "[4]", "{}", "NaN"})
--- a/src/test/java/barrowshore/servers/ScriptedDiscovery.java
+++ b/src/test/java/barrowshore/servers/ScriptedDiscovery.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A discovery on a loopback socket that does what a test tells it, call by call; it can be closed and opened again. */
+/** A service discovery on a loopback socket that a test controls call by call; it can stop and resume listening. */
 public final class ScriptedDiscovery implements AutoCloseable {
     private static final int LISTEN_BACKLOG = 1;
 
@@ -26,7 +26,7 @@
         return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
-    /** From now on connections are refused; what is open stays. */
+    /** Stops listening: further connections are refused, open ones stay. */
     public void refuse() throws IOException {
         serverSocket.close();
     }
@@ -38,7 +38,7 @@
         serverSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), LISTEN_BACKLOG);
     }
 
-    /** Fills the queue of those that wait to be accepted: connections never come up from then on. */
+    /** Fills the accept backlog, so that further connections stay pending. */
     public void fillQueue() throws IOException {
         for (int k = 0; k <= LISTEN_BACKLOG; k++) {
             sockets.add(new Socket(serverSocket.getInetAddress(), serverSocket.getLocalPort()));
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The connection that waits to be accepted; null: none. */
+    /** Accepts a waiting connection; null if there is none. */
     public Call poll() throws IOException {
         serverSocket.setSoTimeout(1);
         try {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** One connection of the scheduler's. */
+    /** A connection from the scheduler. */
     public static final class Call {
         private final Socket socket;
 
@@ -80,14 +80,14 @@
             this.socket = socket;
         }
 
-        /** Reads a request, and returns its target. */
+        /** Reads a request and returns its target. */
         public String target() throws IOException {
             InputStream in = socket.getInputStream();
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
                 if (b < 0) {
-                    throw new IOException("ended in a request: " + head);
+                    throw new IOException("connection ended within the request: " + head);
                 }
                 head.append((char) b);
             }
@@ -99,7 +99,7 @@
             socket.getOutputStream().flush();
         }
 
-        /** The head of a watch's answer. */
+        /** Sends the head of the answer to a watch. */
         public void beginWatch() throws IOException {
             send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
@@ -108,7 +108,7 @@
             send(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
 
-        /** A whole list, as the answer to the call for it. */
+        /** Answers the request for a full list. */
         public void answer(String list) throws IOException {
             send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         }
@@ -117,10 +117,10 @@
             send("HTTP/1.1 503 Service Unavailable\r\nRetry-After: " + retryAfter + "\r\nContent-Length: 0\r\n\r\n");
         }
 
-        /** Waits until the scheduler has ended the connection. */
+        /** Waits until the scheduler has closed the connection. */
         public void awaitEnd() throws IOException {
             while (socket.getInputStream().read() >= 0) {
-                continue; // what it had still written
+                continue; // skip what it had still written
             }
         }
 
--- a/src/test/java/barrowshore/servers/ServerTest.java
+++ b/src/test/java/barrowshore/servers/ServerTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What becomes of a request whose connection to its server is still coming up as something ends. The selector is held, so
- * that the connection is up for the kernel and not yet for us, each time.
+ * What happens to an attempt if its server, client or connection goes away before it is sent. The selector is held, so
+ * that a connection is established in the kernel while the program doesn't know it yet.
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ServerTest {
@@ -44,16 +44,16 @@
     private ServerSocket serverSocket;
     private Server server;
 
-    /** One attempt, as the module's actor would hand it on. */
+    /** An attempt as the module actor would submit it; records its outcome. */
     private static final class TestAttempt implements Server.Attempt {
         final CompletableFuture<Status> endStatus = new CompletableFuture<>();
         private final String id;
         private volatile boolean mayBegin = true;
-        /** Whether it is for the test to say when it is known that its client is there. */
+        /** Whether client checks wait in {@link #pendingChecks} for the test to run them. */
         private volatile boolean clientCheckHeld;
 
         private final BlockingQueue<Runnable> pendingChecks = new LinkedBlockingQueue<>();
-        /** Run as its end is told, in the server's own turn. */
+        /** Runs within {@link #ended}, on the thread of the server's actor. */
         private volatile Runnable onEnded = () -> {};
 
         TestAttempt(String id) {
@@ -105,7 +105,7 @@
         connectionManager = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
         connectionManager.start();
         serverSocket = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-        // Messages run in the poster's stack: in the order in which the test does things.
+        // Messages run on the poster's stack, in the order of the test's calls.
         server = new Server("s-1", Runnable::run, connectionManager, timers, 60_000_000, 1);
         updateState(ServerList.State.READY);
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /** The connection comes up now; what it carries, up to its end, if nothing but the connection's own end is to come. */
+    /** Lets the connection come up, stops the connection manager, and returns all bytes sent on the connection. */
     private byte[] bytesSentAfterRelease() throws Exception {
         try (Socket accepted = serverSocket.accept()) {
             heldSelector.release();
@@ -169,7 +169,7 @@
         assertThat(bytesSentAfterRelease()).isEmpty();
     }
 
-    /** As for a client that has gone, whether or not the settings let what has begun be called off. */
+    /** As when the client has left; this doesn't depend on whether the settings allow attempts to be cancelled once sent. */
     @Test
     void cancelledAttemptIsNotSent() throws Exception {
         holdSelector();
@@ -179,8 +179,9 @@
         assertThat(attempt.endStatus.get()).as("at once").isEqualTo(Status.NOT_SENT);
         try (Socket accepted = serverSocket.accept()) {
             heldSelector.release();
-            // There is one connection at most: once it is up it carries the one withdrawn, or else one of these.
-            // Each waits for the end of the one before: a mailbox that is never empty would run in its own stack.
+            // Only one connection is allowed: it carries the cancelled attempt or one of these. Each waits for the end
+            // of
+            // the previous one, since a mailbox that is never empty would run on its own stack without end.
             for (int k = 0; accepted.getInputStream().available() == 0; k++) {
                 TestAttempt next = new TestAttempt("next" + k);
                 server.send(next);
@@ -209,7 +210,7 @@
         }
     }
 
-    /** Its time, or that in which a repeat does no harm, was up before the connection was. */
+    /** The deadline, or the window in which a repeat is harmless, passed before the connection was established. */
     @Test
     void attemptThatMayNoLongerBeginIsNotSent() throws Exception {
         holdSelector();
@@ -221,7 +222,7 @@
         assertThat(bytesSentAfterRelease()).isEmpty();
     }
 
-    /** The connection at the worker, once an attempt has gone over it, and the next has taken it and checks its client. */
+    /** The server's end of a connection that served one attempt; the next has reserved it, its client check is pending. */
     private Socket reusedConnectionFor(TestAttempt next) throws Exception {
         TestAttempt first = new TestAttempt("a1");
         server.send(first);
@@ -250,7 +251,7 @@
         }
     }
 
-    /** The connection is one to its former life. */
+    /** The idle connection dates from before the server's restart. */
     @Test
     void serverThatRestartsDuringClientCheckGetsRequestOnNewConnection() throws Exception {
         TestAttempt next = new TestAttempt("a2");
@@ -273,7 +274,7 @@
             Runnable clientIsThere = next.pendingChecks.take();
             accepted.shutdownOutput();
             try (Socket fresh = serverSocket.accept()) {
-                clientIsThere.run(); // said for the connection that has ended
+                clientIsThere.run(); // the check belongs to the closed connection
                 next.pendingChecks.take().run();
                 assertThat(HttpText.head(fresh.getInputStream())).contains("X-Request-ID: a2");
                 assertThat(fresh.getInputStream().read()).isEqualTo('a');
@@ -282,7 +283,7 @@
         }
     }
 
-    /** Told before the close, its repeat could overtake it, and be a second copy where settings allow none. */
+    /** Reported before the close, a retry could overtake it and run as a second copy where the settings allow none. */
     @Test
     void answerToAnotherRequestClosesConnectionBeforeAttemptEnds() throws Exception {
         TestAttempt attempt = new TestAttempt("a1");
@@ -303,7 +304,7 @@
         }
     }
 
-    /** Whether the stream is at its end; a limit that runs out says that it is not. */
+    /** Whether the stream ends before the socket's read timeout. */
     private static boolean isAtEnd(InputStream in) {
         try {
             int b = in.read();
@@ -314,7 +315,7 @@
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            return true; // a reset ends it too
+            return true; // reset
         }
     }
 }
--- a/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
+++ b/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
@@ -20,19 +20,18 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long a change may go untold that discovery has and could be asked for, by the test's own clock: on each path by
- * which a call fails, is refused, is given up, or falls silent, in its worst order. {@code docs/design/discovery.md} has
- * the table. The scheduler's messages run in the thread that posts them, so that a step of time has done all of its work
- * when it returns.
+ * How long a change known to discovery may go unreported, by simulated time: for each way in which a call fails, is
+ * refused, times out or falls silent, in the worst order. {@code docs/design/discovery.md} has the table. The actor runs
+ * in the thread that posts to it, so that a step of time has done all its work when it returns.
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ServiceDiscoveryTest {
-    /** In which a server that leaves may still be sent to, microseconds. */
+    /** How long a terminating server may still get new jobs. */
     private static final long GRACE_MICROS = 2_000_000;
 
     private static final long STEP_MILLIS = 10;
-    /** What the pauses come to at that grace: between one and two of them. */
-    private static final long MAX_PAUSE_MILLIS = 400;
+    /** Longest wait between calls at that grace period: twice the longest base pause of 200 ms. */
+    private static final long MAX_WAIT_MILLIS = 400;
 
     private static final long ANSWER_TIMEOUT_MILLIS = 500, SILENCE_TIMEOUT_MILLIS = 3000, DIAL_TIMEOUT_MILLIS = 1000;
     private static final Update EMPTY_LIST = new Update(0, true, List.of());
@@ -40,9 +39,9 @@
 
     private final ManualTime time = new ManualTime();
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
-    /** Held while the actor runs, in whichever thread. */
+    /** Held by whichever thread runs the actor. */
     private final ReentrantLock actorLock = new ReentrantLock();
-    /** Dials may take longer than this class lets them take. */
+    /** Its connect timeout is longer than the one of service discovery. */
     private final ConnectionManager connectionManager =
             new ConnectionManager(pool, time, 50, 1, 60_000, endPoint -> null);
 
@@ -89,7 +88,7 @@
         }
     }
 
-    /** Waits until the actor has done what it is at in another thread. */
+    /** Waits until the actor has finished what it is running in another thread. */
     private void awaitActor() {
         runLocked(() -> {});
     }
@@ -113,7 +112,7 @@
         return update;
     }
 
-    /** Time moves on until discovery is called. */
+    /** Advances time until discovery is called. */
     private Call awaitCall(ScriptedDiscovery from) throws Exception {
         Call call = from.poll();
         while (call == null) {
@@ -128,7 +127,7 @@
         awaitActor();
     }
 
-    /** Answers a call, whichever it is, with what tells that the server leaves. */
+    /** Answers the call, be it for a list or a watch, with the server in state Terminating. */
     private void answerTerminating(Call call, long rev) throws Exception {
         if (call.target().contains("watch")) {
             call.beginWatch();
@@ -141,7 +140,7 @@
                 .containsExactly(ServerList.State.TERMINATING);
     }
 
-    /** A scheduler that sends jobs by discovery's list, and its watch, of which only the head has come. */
+    /** Starts a scheduler that gets its list from discovery, and returns its watch after only the response head was sent. */
     private Call startAndWatch(long graceMicros) throws Exception {
         start(EMPTY_LIST, graceMicros);
         Call watch = awaitCall(discovery);
@@ -153,7 +152,7 @@
         return watch;
     }
 
-    /** The line of a watch that tells no change; time stands until it has been read. */
+    /** Sends a watch's empty heartbeat line and waits, without advancing time, until it has been read. */
     private void sendHeartbeat(Call watch) throws Exception {
         long before = time.scheduled();
         watch.chunk("\n");
@@ -164,10 +163,10 @@
     }
 
     private void assertReportedWithin(long millis, long sinceMillis) {
-        assertThat(time.millis() - sinceMillis).as("milliseconds untold").isLessThanOrEqualTo(millis + STEP_MILLIS);
+        assertThat(time.millis() - sinceMillis).as("milliseconds unreported").isLessThanOrEqualTo(millis + STEP_MILLIS);
     }
 
-    /** Refuses calls until the pauses between them are at their longest. */
+    /** Refuses calls until the pauses have grown to the longest; returns the next call. */
     private Call refuseUntilLongestPause(ScriptedDiscovery from) throws Exception {
         Call call = awaitCall(from);
         for (int k = 0; k < 8; k++) {
@@ -186,23 +185,23 @@
         time.advance(4000);
         long before = time.scheduled();
         while (time.scheduled() == before) {
-            time.advance(STEP_MILLIS); // until one has been refused just now
+            time.advance(STEP_MILLIS); // until a dial has just been refused
         }
         discovery.listenAgain();
         long since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(MAX_WAIT_MILLIS, since);
     }
 
     @Test
     void dialThatNeverConnectsIsAbandoned() throws Exception {
         discovery.fillQueue();
         start(previousList(), GRACE_MICROS);
-        discovery.emptyQueue(); // what was dialed before is lost: nothing of it comes up
+        discovery.emptyQueue(); // the earlier dial is lost and never connects
         long since = time.millis();
         Call call = awaitCall(discovery);
         answerTerminating(call, 8);
-        assertReportedWithin(DIAL_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(DIAL_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -213,12 +212,12 @@
         discovery.emptyQueue();
         Call late = discovery.poll();
         while (late == null) {
-            late = discovery.poll(); // the kernel tries again by its own clock
+            late = discovery.poll(); // the kernel retries in real time
         }
         awaitEnd(late);
         Call call = awaitCall(discovery);
         answerTerminating(call, 8);
-        time.advance(MAX_PAUSE_MILLIS);
+        time.advance(MAX_WAIT_MILLIS);
         assertThat(discovery.poll()).as("a second call").isNull();
     }
 
@@ -232,7 +231,7 @@
         awaitEnd(call);
         long since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -245,13 +244,13 @@
         awaitEnd(call);
         long since = time.millis();
         answerTerminating(awaitCall(otherDiscovery), 3);
-        assertReportedWithin(MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(MAX_WAIT_MILLIS, since);
     }
 
     @Test
     void longRetryAfterIsIgnoredWhilePreviousListIsInUse() throws Exception {
         start(previousList(), GRACE_MICROS);
-        Call call = awaitCall(discovery); // left unanswered until that list is in use
+        Call call = awaitCall(discovery); // left unanswered until the previous list is in use
         while (!startupWaitEnded) {
             time.advance(STEP_MILLIS);
             Call next = discovery.poll();
@@ -263,10 +262,10 @@
         awaitEnd(call);
         long since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(MAX_WAIT_MILLIS, since);
     }
 
-    /** Calls are rare while nothing is sent, and must not stay so once the list known from before is in use. */
+    /** Pauses are long while no list is in use, and must get short as soon as the previous list is used. */
     @Test
     void previousListIsUsedDespiteRefusalsAndCorrectedSoon() throws Exception {
         start(previousList(), GRACE_MICROS);
@@ -290,13 +289,13 @@
             call = awaitCall(discovery);
             call.target();
         }
-        assertReportedWithin(MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(MAX_WAIT_MILLIS, since);
         call.refuse("3600");
         awaitEnd(call);
         since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(MAX_PAUSE_MILLIS, since);
-        time.advance(1000); // past the end of the pause that was cut short
+        assertReportedWithin(MAX_WAIT_MILLIS, since);
+        time.advance(1000); // past the end of the original pause
         assertThat(discovery.poll()).as("a second call").isNull();
     }
 
@@ -308,10 +307,10 @@
             call.target();
             call = awaitCall(discovery);
         }
-        call.target(); // made just before discovery is back, and never answered
+        call.target(); // sent just before discovery is back, and never answered
         long since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(ANSWER_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(ANSWER_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -332,7 +331,7 @@
         startAndWatch(GRACE_MICROS);
         long since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -344,7 +343,7 @@
         }
         long since = time.millis();
         answerTerminating(awaitCall(discovery), 8);
-        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -355,8 +354,7 @@
         long since = time.millis();
         assertThat(awaitCall(discovery).target()).isEqualTo("/api/targets?watch=1&after=8");
         answerTerminating(awaitCall(discovery), 9);
-        assertReportedWithin(
-                SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS + ANSWER_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_WAIT_MILLIS + ANSWER_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -374,7 +372,7 @@
         }
         assertThat(next).as("a new call").isNotNull();
         answerTerminating(next, 8);
-        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -387,7 +385,8 @@
         watch.beginWatch();
         watch.chunk(list.substring(0, list.length() / 2));
         while (time.scheduled() < before + 3) {
-            Thread.onSpinWait(); // until head and piece have been read: a limit for each, and one look at what follows
+            Thread.onSpinWait(); // until head and chunk are read: a time limit for each and the check for an
+            // unchanged list
         }
         awaitActor();
         time.advance(SILENCE_TIMEOUT_MILLIS - STEP_MILLIS);
@@ -406,7 +405,7 @@
         long before = time.scheduled();
         watch.beginWatch();
         while (time.scheduled() < before + 2) {
-            Thread.onSpinWait(); // until the head has been read: its limit, and one look at what follows
+            Thread.onSpinWait(); // until the head is read: its time limit and the check for an unchanged list
         }
         awaitActor();
         time.advance(1000);
@@ -421,7 +420,7 @@
         watch.reset();
         long since = time.millis();
         while (time.scheduled() == before) {
-            Thread.onSpinWait(); // until its end is known
+            Thread.onSpinWait(); // until the reset has been noticed
         }
         awaitActor();
         answerTerminating(awaitCall(discovery), 8);
@@ -471,14 +470,14 @@
                     Thread.onSpinWait(); // until the piece has been read
                 }
                 awaitActor();
-                sendHeartbeat(watch); // the former address has no more to tell
+                sendHeartbeat(watch); // the former address reports no change
             }
             time.advance(STEP_MILLIS);
             next = otherDiscovery.poll();
         }
         assertThat(next).as("a new call").isNotNull();
         answerTerminating(next, 3);
-        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(SILENCE_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -495,7 +494,7 @@
         assertReportedWithin(0, since);
         assertThat(call.target()).isEqualTo("/api/targets?watch=1&after=3");
         call.beginWatch();
-        time.advance(DIAL_TIMEOUT_MILLIS); // when the dial to the former address is given up
+        time.advance(DIAL_TIMEOUT_MILLIS); // the dial to the former address is abandoned
         assertThat(otherDiscovery.poll()).as("a second call").isNull();
     }
 
@@ -525,7 +524,7 @@
         awaitEnd(former);
         long since = time.millis();
         answerTerminating(awaitCall(otherDiscovery), 3);
-        assertReportedWithin(ANSWER_TIMEOUT_MILLIS + MAX_PAUSE_MILLIS, since);
+        assertReportedWithin(ANSWER_TIMEOUT_MILLIS + MAX_WAIT_MILLIS, since);
     }
 
     @Test
@@ -543,9 +542,9 @@
                 call.answer(listJson(3, true, "Ready"));
                 heard = call.target().contains("watch");
             } catch (java.io.IOException e) {
-                heard = false; // given up before its answer
+                heard = false; // abandoned before its answer
             }
         }
-        assertThat(heard).as("a list was waited for").isTrue();
+        assertThat(heard).as("the slow list was received").isTrue();
     }
 }
