--- a/src/main/java/barrowshore/net/HttpLink.java
+++ b/src/main/java/barrowshore/net/HttpLink.java
@@ -24,8 +24,8 @@
 public abstract class HttpLink extends AbstractConnection implements HttpParser.HttpHandler {
     private static final int READ_BUFFER_BYTES = 4096;
     private static final int INITIAL_HEADER_BUFFER_BYTES = 2048;
-    /** Longest accepted head of a request or a response, in bytes. */
-    protected static final int MAX_HEADER = 16384;
+    /** Longest accepted head of a request or a response. */
+    protected static final int MAX_HEADER_BYTES = 16384;
     /** Bytes that are read and discarded at full speed, so that the peer can still read its last answer. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
     /**
@@ -173,7 +173,7 @@
     }
 
     /** Whether an idle connection was closed, or got unsolicited bytes; to be checked right before writing. */
-    public boolean brokenWhileIdle() {
+    public boolean isBrokenWhileIdle() {
         try {
             return closed || !getEndPoint().isOpen() || getEndPoint().fill(readBuffer) != 0;
         } catch (IOException e) {
@@ -260,7 +260,7 @@
                 if (result == HttpGenerator.Result.FLUSH) {
                     return header;
                 }
-                if (result != HttpGenerator.Result.HEADER_OVERFLOW || size > 4 * MAX_HEADER) {
+                if (result != HttpGenerator.Result.HEADER_OVERFLOW || size > 4 * MAX_HEADER_BYTES) {
                     throw new IllegalStateException(
                             "cannot generate the message head: HttpGenerator returned " + result);
                 }
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -113,8 +113,7 @@
         this.timers = timers;
         this.maxConnections = maxConnections;
         // A request written to a connection that the server is just closing may have run. So idle connections are
-        // closed
-        // after half of the server's keep-alive time.
+        // closed after half of the server's keep-alive time.
         this.idleTimeoutMillis = Math.max(1, keepAliveMicros / 2000);
         this.mailbox = new Mailbox("server " + uid, pool);
     }
@@ -309,7 +308,7 @@
         ServerConnection(EndPoint endPoint, Exchange first) {
             super(endPoint, Server.this.mailbox, timers);
             this.exchange = first;
-            parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEADER);
+            parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEADER_BYTES);
         }
 
         @Override
@@ -341,7 +340,7 @@
             if (next.ended || !mayBegin(next)) {
                 next.end(Status.NOT_SENT, null, null); // a local decision that doesn't count against the server
                 returnToPool();
-            } else if (wasIdle && (retired || brokenWhileIdle())) {
+            } else if (wasIdle && (retired || isBrokenWhileIdle())) {
                 closeNow();
                 startExchange(next);
             } else {
@@ -420,7 +419,7 @@
 
         @Override
         protected void read() {
-            if (exchange == null && !isClosed() && brokenWhileIdle()) {
+            if (exchange == null && !isClosed() && isBrokenWhileIdle()) {
                 closeNow(); // unsolicited bytes, or the server has closed an idle connection
                 return;
             }
--- a/src/main/java/barrowshore/servers/ServiceDiscovery.java
+++ b/src/main/java/barrowshore/servers/ServiceDiscovery.java
@@ -260,9 +260,9 @@
         if (generation == addressGeneration) {
             dialing = false;
             endStartupWaitIfDue();
-            // The wait is between one and two pauses, so that schedulers don't call an overloaded discovery in step.
-            // With
-            // a list in use it stays short even if refused: the scheduler is deemed informed of changes all the same.
+            // Wait between one and two pauses, so that schedulers don't call an overloaded discovery in step. With a
+            // list
+            // in use the wait stays short even if refused: the scheduler is deemed informed of changes all the same.
             long maxWaitMillis = lastCallRefused && !listInUse ? MAX_BUSY_PAUSE_MILLIS : maxPauseMillis;
             pauseMillis = Math.min(pauseMillis, maxWaitMillis);
             long waitMillis =
@@ -299,7 +299,7 @@
             super(endPoint, ServiceDiscovery.this.mailbox, timers);
             this.generation = generation;
             this.dialNumber = dialNumber;
-            parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEADER);
+            parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEADER_BYTES);
         }
 
         @Override
--- a/src/test/java/barrowshore/net/ConnectionManagerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -136,9 +136,9 @@
     /** Closing a listening socket would reset the connections in its backlog and silently lose what they have sent. */
     @Test
     void queuedConnectionsAreAcceptedBeforeListeningSocketCloses() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 10, endPoint -> {
-            in.add(endPoint);
+            acceptedEndPoints.add(endPoint);
             return new IdleClientConnection(endPoint);
         });
         List<Socket> waiting = new ArrayList<>();
@@ -153,7 +153,7 @@
             ended.await();
             assertThat(server.isOpen()).isFalse();
             for (int k = 0; k < 3; k++) {
-                in.take().close();
+                acceptedEndPoints.take().close();
             }
             for (Socket client : waiting) {
                 assertThat(client.getInputStream().read())
@@ -170,9 +170,9 @@
     /** Above the budget, waiting connections are accepted one by one as others end. */
     @Test
     void connectionsAwaitingAPermitAreAcceptedToo() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
-            in.add(endPoint);
+            acceptedEndPoints.add(endPoint);
             return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
@@ -180,19 +180,19 @@
             connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort());
                     Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                EndPoint served = in.take();
+                EndPoint firstEndPoint = acceptedEndPoints.take();
                 CountDownLatch ended = new CountDownLatch(1);
                 connectionManager.stopListening(server, ended::countDown);
-                served.close();
+                firstEndPoint.close();
                 // The number of sweeps is limited: none may run before the descriptor is released.
                 awaitPoolIdle();
                 awaitTwoSelections();
-                EndPoint next = in.poll();
-                while (next == null) {
+                EndPoint secondEndPoint = acceptedEndPoints.poll();
+                while (secondEndPoint == null) {
                     timers.runAll();
-                    next = in.poll();
+                    secondEndPoint = acceptedEndPoints.poll();
                 }
-                next.close();
+                secondEndPoint.close();
                 assertThat(first.getInputStream().read()).isEqualTo(-1);
                 assertThat(second.getInputStream().read())
                         .as("an end, no reset")
@@ -206,23 +206,23 @@
 
     @Test
     void failedAcceptReturnsItsPermit() throws Exception {
-        AtomicInteger made = new AtomicInteger();
-        CompletableFuture<EndPoint> second = new CompletableFuture<>();
+        AtomicInteger connectionCount = new AtomicInteger();
+        CompletableFuture<EndPoint> secondEndPoint = new CompletableFuture<>();
         start(1, 1, endPoint -> {
-            if (made.getAndIncrement() == 0) {
+            if (connectionCount.getAndIncrement() == 0) {
                 throw new IllegalStateException("broken on purpose");
             }
-            second.complete(endPoint);
+            secondEndPoint.complete(endPoint);
             return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
             connectionManager.listen(server);
-            try (Socket one = new Socket(LOOPBACK, server.socket().getLocalPort());
-                    Socket two = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                assertThat(isEnded(one)).isTrue();
-                assertThat(second.get().isOpen()).isTrue();
-                assertThat(two.isConnected()).isTrue();
+            try (Socket firstClient = new Socket(LOOPBACK, server.socket().getLocalPort());
+                    Socket secondClient = new Socket(LOOPBACK, server.socket().getLocalPort())) {
+                assertThat(isEnded(firstClient)).isTrue();
+                assertThat(secondEndPoint.get().isOpen()).isTrue();
+                assertThat(secondClient.isConnected()).isTrue();
             }
         }
     }
@@ -325,23 +325,23 @@
     /** A selector round with many accepts may take long, and releases no descriptors of closed channels until its end. */
     @Test
     void acceptWaitsForReleaseOfClosedDescriptor() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
-            in.add(endPoint);
+            acceptedEndPoints.add(endPoint);
             return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
             connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                EndPoint served = in.take();
+                EndPoint firstEndPoint = acceptedEndPoints.take();
                 holdSelector();
                 try (Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                    served.close();
+                    firstEndPoint.close();
                     awaitPoolIdle();
                     assertThat(connectionManager.doAccept(server)).isNull();
                     selectorReleased.countDown();
-                    assertThat(in.take().isOpen()).isTrue();
+                    assertThat(acceptedEndPoints.take().isOpen()).isTrue();
                     assertThat(first.getInputStream().read()).isEqualTo(-1);
                     assertThat(second.isConnected()).isTrue();
                 }
@@ -389,23 +389,23 @@
     /** Otherwise the selector would spin on connections that it may not accept. */
     @Test
     void acceptInterestIsOffWhileClientPermitsAreExhausted() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
-            in.add(endPoint);
+            acceptedEndPoints.add(endPoint);
             return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
             connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                EndPoint served = in.take();
+                EndPoint firstEndPoint = acceptedEndPoints.take();
                 try (Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
                     awaitTwoSelections();
                     SelectionKey key = server.keyFor(
                             connectionManager.getBean(ManagedSelector.class).getSelector());
                     assertThat(key.interestOps()).isZero();
-                    served.close();
-                    assertThat(in.take().isOpen())
+                    firstEndPoint.close();
+                    assertThat(acceptedEndPoints.take().isOpen())
                             .as("accepted as soon as there is room")
                             .isTrue();
                     assertThat(first.getInputStream().read()).isEqualTo(-1);
@@ -435,13 +435,13 @@
 
     /** Returns once all tasks submitted to the pool have run, except the selector's. */
     private void awaitPoolIdle() throws Exception {
-        CyclicBarrier all = new CyclicBarrier(POOL_THREADS - 1);
-        List<Future<Integer>> met = new ArrayList<>();
+        CyclicBarrier allThreads = new CyclicBarrier(POOL_THREADS - 1);
+        List<Future<Integer>> tasks = new ArrayList<>();
         for (int k = 0; k < POOL_THREADS - 1; k++) {
-            met.add(pool.submit(() -> all.await()));
+            tasks.add(pool.submit(() -> allThreads.await()));
         }
-        for (Future<Integer> each : met) {
-            each.get();
+        for (Future<Integer> task : tasks) {
+            task.get();
         }
     }
 
--- a/src/test/java/barrowshore/net/HeldSelector.java
+++ b/src/test/java/barrowshore/net/HeldSelector.java
@@ -8,9 +8,9 @@
     private final CountDownLatch released = new CountDownLatch(1);
 
     /** Returns once the selector is blocked. */
-    public HeldSelector(ConnectionManager dialer) throws InterruptedException {
+    public HeldSelector(ConnectionManager connectionManager) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
-        dialer.getBean(ManagedSelector.class).submit(keys -> {
+        connectionManager.getBean(ManagedSelector.class).submit(keys -> {
             held.countDown();
             try {
                 released.await();
--- a/src/test/java/barrowshore/servers/ServerTest.java
+++ b/src/test/java/barrowshore/servers/ServerTest.java
@@ -180,8 +180,7 @@
         try (Socket accepted = serverSocket.accept()) {
             heldSelector.release();
             // Only one connection is allowed: it carries the cancelled attempt or one of these. Each waits for the end
-            // of
-            // the previous one, since a mailbox that is never empty would run on its own stack without end.
+            // of the previous one, since a mailbox that is never empty would run on its own stack without end.
             for (int k = 0; accepted.getInputStream().available() == 0; k++) {
                 TestAttempt next = new TestAttempt("next" + k);
                 server.send(next);
@@ -260,9 +259,9 @@
             server.update(entry(ServerList.State.READY, 2));
             clientIsThere.run();
             assertThat(accepted.getInputStream().readAllBytes()).isEmpty();
-            try (Socket fresh = serverSocket.accept()) {
+            try (Socket newSocket = serverSocket.accept()) {
                 next.pendingChecks.take().run();
-                assertThat(HttpText.head(fresh.getInputStream())).contains("X-Request-ID: a2");
+                assertThat(HttpText.head(newSocket.getInputStream())).contains("X-Request-ID: a2");
             }
         }
     }
@@ -273,12 +272,12 @@
         try (Socket accepted = reusedConnectionFor(next)) {
             Runnable clientIsThere = next.pendingChecks.take();
             accepted.shutdownOutput();
-            try (Socket fresh = serverSocket.accept()) {
+            try (Socket newSocket = serverSocket.accept()) {
                 clientIsThere.run(); // the check belongs to the closed connection
                 next.pendingChecks.take().run();
-                assertThat(HttpText.head(fresh.getInputStream())).contains("X-Request-ID: a2");
-                assertThat(fresh.getInputStream().read()).isEqualTo('a');
-                assertThat(fresh.getInputStream().available()).as("once").isZero();
+                assertThat(HttpText.head(newSocket.getInputStream())).contains("X-Request-ID: a2");
+                assertThat(newSocket.getInputStream().read()).isEqualTo('a');
+                assertThat(newSocket.getInputStream().available()).as("once").isZero();
             }
         }
     }
--- a/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
+++ b/src/test/java/barrowshore/servers/ServiceDiscoveryTest.java
@@ -530,21 +530,21 @@
     @Test
     void answerTimeoutGrowsUntilSlowFirstListArrives() throws Exception {
         start(EMPTY_LIST, GRACE_MICROS);
-        long slow = 1500;
-        boolean heard = false;
-        for (int k = 0; k < 5 && !heard; k++) {
+        long answerDelayMillis = 1500;
+        boolean listReceived = false;
+        for (int k = 0; k < 5 && !listReceived; k++) {
             Call call = awaitCall(discovery);
             call.target();
-            for (long left = slow; left > 0; left -= STEP_MILLIS) {
+            for (long left = answerDelayMillis; left > 0; left -= STEP_MILLIS) {
                 time.advance(STEP_MILLIS);
             }
             try {
                 call.answer(listJson(3, true, "Ready"));
-                heard = call.target().contains("watch");
+                listReceived = call.target().contains("watch");
             } catch (java.io.IOException e) {
-                heard = false; // abandoned before its answer
+                listReceived = false; // abandoned before its answer
             }
         }
-        assertThat(heard).as("the slow list was received").isTrue();
+        assertThat(listReceived).as("the slow list was received").isTrue();
     }
 }
