--- a/src/main/java/barrowshore/servers/ServiceDiscovery.java
+++ b/src/main/java/barrowshore/servers/ServiceDiscovery.java
@@ -444,8 +444,7 @@
                 renewTimeLimit();
             }
             if (activeWatch == this) {
-                pauseMillis =
-                        0; // not after the first list already, lest a watch that ends right there be reopened in a loop
+                pauseMillis = 0; // only after the first list, lest a watch that ends right there reopen in a loop
             }
             try {
                 objectBuffer.add(bytes, this::handleObject);
