--- a/src/main/java/barrowshore/net/LineBuffer.java
+++ b/src/main/java/barrowshore/net/LineBuffer.java
@@ -6,40 +6,40 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into lines wherever its pieces begin and end. It owns the bytes of the line not yet whole, up to a
- * bound, and must never hand on a part of a line.
+ * Splits a byte stream into lines, which may span reads. It buffers the incomplete line up to a maximum size and passes
+ * on complete lines only.
  */
 public final class LineBuffer {
-    private final int bound;
-    private byte[] held = new byte[256];
+    private final int maxLineBytes;
+    private byte[] buffer = new byte[256];
     private int length;
 
-    public LineBuffer(int bound) {
-        this.bound = bound;
+    public LineBuffer(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
-    /** Adds a piece; each line that it completes goes to the taker, without its end. */
-    public void add(ByteBuffer piece, Consumer<String> taker) {
-        while (piece.hasRemaining()) {
-            byte b = piece.get();
+    /** Adds bytes and passes each completed line, without its terminator, to the consumer. */
+    public void add(ByteBuffer bytes, Consumer<String> consumer) {
+        while (bytes.hasRemaining()) {
+            byte b = bytes.get();
             if (b == '\n') {
-                end(taker);
+                end(consumer);
             } else {
-                if (length == bound) {
-                    throw new IllegalStateException("a line is longer than " + bound + " bytes");
+                if (length == maxLineBytes) {
+                    throw new IllegalStateException("line exceeds " + maxLineBytes + " bytes");
                 }
-                if (length == held.length) {
-                    held = Arrays.copyOf(held, Math.min(bound, 2 * length));
+                if (length == buffer.length) {
+                    buffer = Arrays.copyOf(buffer, Math.min(maxLineBytes, 2 * length));
                 }
-                held[length++] = b;
+                buffer[length++] = b;
             }
         }
     }
 
-    /** What is held is a whole line, though nothing ends it: its message is complete. */
-    public void end(Consumer<String> taker) {
-        String line = new String(held, 0, length, StandardCharsets.UTF_8);
+    /** Passes on the buffered bytes as a line; for a message that ends without a line terminator. */
+    public void end(Consumer<String> consumer) {
+        String line = new String(buffer, 0, length, StandardCharsets.UTF_8);
         length = 0;
-        taker.accept(line);
+        consumer.accept(line);
     }
 }
--- a/src/main/java/barrowshore/net/Mailbox.java
+++ b/src/main/java/barrowshore/net/Mailbox.java
@@ -7,19 +7,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The mailbox of an actor: messages posted from any thread run one at a time, in order, on the shared pool. It owns the
- * promise that an actor's state is touched by one thread at a time; it must never run a message in the caller's stack,
- * and never let an exception of one message lose the next.
+ * The mailbox of an actor: runs messages posted by any thread one at a time and in order, so that only one thread
+ * at a time touches the actor's state. It runs them on the shared pool, never on the caller's stack, and an exception
+ * in one message doesn't affect the next.
  */
 public final class Mailbox implements Runnable {
     private static final System.Logger LOG = System.getLogger(Mailbox.class.getName());
-    /** Messages run in one turn, so that a busy actor lets the others at the pool. */
-    private static final int TURN = 64;
+    /** After so many messages a busy actor queues again behind the other tasks of the pool. */
+    private static final int MAX_MESSAGES_PER_RUN = 64;
 
     private final String name;
     private final Executor pool;
     private final ConcurrentLinkedQueue<Runnable> messages = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger pendingCount = new AtomicInteger();
 
     public Mailbox(String name, Executor pool) {
         this.name = name;
@@ -28,37 +28,37 @@
 
     public void post(Runnable message) {
         messages.add(message);
-        if (waiting.getAndIncrement() == 0) {
-            turn();
+        if (pendingCount.getAndIncrement() == 0) {
+            submitRun();
         }
     }
 
-    /** A pool that has been shut down means that the whole scheduler has stopped at once, and this with it. */
-    private void turn() {
+    /** The pool rejects only after its shutdown, when the whole scheduler has stopped and the message can be dropped. */
+    private void submitRun() {
         try {
             pool.execute(this);
         } catch (RejectedExecutionException e) {
-            LOG.log(Level.DEBUG, "a message to " + name + " came after the end", e);
+            LOG.log(Level.DEBUG, "mailbox of " + name + ": message dropped, the pool has been shut down", e);
         }
     }
 
     @Override
     public void run() {
-        int done = 0;
-        while (done < TURN) {
+        int processed = 0;
+        while (processed < MAX_MESSAGES_PER_RUN) {
             Runnable message = messages.poll();
             if (message == null) {
                 break;
             }
-            done++;
+            processed++;
             try {
                 message.run();
-            } catch (Throwable e) { // guards the actor: a message that dies must not wedge the mailbox
-                LOG.log(Level.ERROR, "a message to " + name + " failed", e);
+            } catch (Throwable e) { // a failing message must not block the mailbox
+                LOG.log(Level.ERROR, "mailbox of " + name + ": message failed; continuing with the next", e);
             }
         }
-        if (waiting.addAndGet(-done) > 0) {
-            turn();
+        if (pendingCount.addAndGet(-processed) > 0) {
+            submitRun();
         }
     }
 }
--- a/src/test/java/barrowshore/net/ConnectionManagerTest.java
+++ b/src/test/java/barrowshore/net/ConnectionManagerTest.java
@@ -36,32 +36,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is owed as a connection comes up or its socket stops listening, on loopback, with time that only the test moves. */
+/** Dialing, accepting and closing on loopback, with timers that only the test fires. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ConnectionManagerTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final int THREADS = 4;
+    private static final int POOL_THREADS = 4;
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
-    private final GivenTimers timers = new GivenTimers();
-    /** What holds the selector waits for this. */
-    private final CountDownLatch free = new CountDownLatch(1);
+    private final ExecutorService pool = Executors.newFixedThreadPool(POOL_THREADS);
+    private final ManualTimers timers = new ManualTimers();
+    /** While up, it keeps the selector blocked after {@link #holdSelector}. */
+    private final CountDownLatch selectorReleased = new CountDownLatch(1);
 
-    private ConnectionManager dialer;
+    private ConnectionManager connectionManager;
 
-    /** Timers that run only when the test says so, those of up to a second, in the order in which they were set. */
-    private static final class GivenTimers extends AbstractLifeCycle implements Scheduler {
-        private final Queue<Runnable> set = new ArrayDeque<>();
+    /** Runs timers of up to a second when the test says so, in the order in which they were set; ignores longer ones. */
+    private static final class ManualTimers extends AbstractLifeCycle implements Scheduler {
+        private final Queue<Runnable> pending = new ArrayDeque<>();
 
         @Override
         public synchronized Task schedule(Runnable run, long delay, TimeUnit unit) {
             if (unit.toMillis(delay) > 1000) {
                 return () -> true;
             }
-            set.add(run);
+            pending.add(run);
             return () -> {
                 synchronized (this) {
-                    return set.remove(run);
+                    return pending.remove(run);
                 }
             };
         }
@@ -69,16 +69,16 @@
         void runAll() {
             List<Runnable> due;
             synchronized (this) {
-                due = new ArrayList<>(set);
-                set.clear();
+                due = new ArrayList<>(pending);
+                pending.clear();
             }
             due.forEach(Runnable::run);
         }
     }
 
-    /** A connection that does nothing. */
-    private static final class Still extends AbstractConnection {
-        Still(EndPoint endPoint) {
+    /** An outgoing connection that does nothing. */
+    private static final class IdleConnection extends AbstractConnection {
+        IdleConnection(EndPoint endPoint) {
             super(endPoint, Runnable::run);
         }
 
@@ -86,9 +86,10 @@
         public void onFillable() {}
     }
 
-    /** The same on a client's connection. */
-    private static final class StillClient extends AbstractConnection implements ConnectionManager.AcceptedConnection {
-        StillClient(EndPoint endPoint) {
+    /** An accepted connection that does nothing. */
+    private static final class IdleClientConnection extends AbstractConnection
+            implements ConnectionManager.AcceptedConnection {
+        IdleClientConnection(EndPoint endPoint) {
             super(endPoint, Runnable::run);
         }
 
@@ -96,49 +97,49 @@
         public void onFillable() {}
     }
 
-    /** Says what became of a dial. */
-    private static final class Asker implements ConnectionManager.DialHandler {
-        final CompletableFuture<EndPoint> up = new CompletableFuture<>();
-        private final boolean breaks;
+    /** Records the outcome of a dial. */
+    private static final class RecordingDialHandler implements ConnectionManager.DialHandler {
+        final CompletableFuture<EndPoint> result = new CompletableFuture<>();
+        private final boolean throwsOnConnect;
 
-        Asker(boolean breaks) {
-            this.breaks = breaks;
+        RecordingDialHandler(boolean throwsOnConnect) {
+            this.throwsOnConnect = throwsOnConnect;
         }
 
         @Override
         public Connection apply(EndPoint endPoint) {
-            if (breaks) {
+            if (throwsOnConnect) {
                 throw new IllegalStateException("broken on purpose");
             }
-            up.complete(endPoint);
-            return new Still(endPoint);
+            result.complete(endPoint);
+            return new IdleConnection(endPoint);
         }
 
         @Override
         public void onDialFailed(Throwable cause) {
-            up.completeExceptionally(cause);
+            result.completeExceptionally(cause);
         }
     }
 
     private void start(int outgoing, int clients, Function<EndPoint, Connection> accepted) throws Exception {
-        dialer = new ConnectionManager(pool, timers, outgoing, clients, 250, accepted);
-        dialer.start();
+        connectionManager = new ConnectionManager(pool, timers, outgoing, clients, 250, accepted);
+        connectionManager.start();
     }
 
     @AfterEach
     void stop() {
-        free.countDown();
-        LifeCycle.stop(dialer);
+        selectorReleased.countDown();
+        LifeCycle.stop(connectionManager);
         pool.shutdownNow();
     }
 
-    /** A socket that is closed resets all that wait in its queue, and what they have sent is lost without a word. */
+    /** Closing a listening socket would reset the connections in its backlog and silently lose what they have sent. */
     @Test
-    void whoWaitsIsTakenInBeforeTheSocketIsClosed() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+    void queuedConnectionsAreAcceptedBeforeListeningSocketCloses() throws Exception {
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 10, endPoint -> {
-            in.add(endPoint);
-            return new StillClient(endPoint);
+            acceptedEndPoints.add(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         List<Socket> waiting = new ArrayList<>();
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
@@ -148,11 +149,11 @@
                 waiting.add(new Socket(LOOPBACK, server.socket().getLocalPort()));
             }
             CountDownLatch ended = new CountDownLatch(1);
-            dialer.stopListening(server, ended::countDown);
+            connectionManager.stopListening(server, ended::countDown);
             ended.await();
             assertThat(server.isOpen()).isFalse();
             for (int k = 0; k < 3; k++) {
-                in.take().close();
+                acceptedEndPoints.take().close();
             }
             for (Socket client : waiting) {
                 assertThat(client.getInputStream().read())
@@ -166,32 +167,32 @@
         }
     }
 
-    /** Above the clients' part those that wait are taken in one after the other, as others end. */
+    /** Above the budget, waiting connections are accepted one by one as others end. */
     @Test
-    void whoWaitsForADescriptorIsTakenInToo() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+    void connectionsAwaitingAPermitAreAcceptedToo() throws Exception {
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
-            in.add(endPoint);
-            return new StillClient(endPoint);
+            acceptedEndPoints.add(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort());
                     Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                EndPoint served = in.take();
+                EndPoint firstEndPoint = acceptedEndPoints.take();
                 CountDownLatch ended = new CountDownLatch(1);
-                dialer.stopListening(server, ended::countDown);
-                served.close();
-                // Sweeps are counted: none may pass before the descriptor is back.
-                letThePoolFinish();
-                letTheSelectorFinish();
-                EndPoint next = in.poll();
-                while (next == null) {
+                connectionManager.stopListening(server, ended::countDown);
+                firstEndPoint.close();
+                // The number of sweeps is limited: none may run before the descriptor is released.
+                awaitPoolIdle();
+                awaitTwoSelections();
+                EndPoint secondEndPoint = acceptedEndPoints.poll();
+                while (secondEndPoint == null) {
                     timers.runAll();
-                    next = in.poll();
+                    secondEndPoint = acceptedEndPoints.poll();
                 }
-                next.close();
+                secondEndPoint.close();
                 assertThat(first.getInputStream().read()).isEqualTo(-1);
                 assertThat(second.getInputStream().read())
                         .as("an end, no reset")
@@ -204,71 +205,71 @@
     }
 
     @Test
-    void aConnectionThatCannotBeTakenInGivesItsDescriptorBack() throws Exception {
-        AtomicInteger made = new AtomicInteger();
-        CompletableFuture<EndPoint> second = new CompletableFuture<>();
+    void failedAcceptReturnsItsPermit() throws Exception {
+        AtomicInteger connectionCount = new AtomicInteger();
+        CompletableFuture<EndPoint> secondEndPoint = new CompletableFuture<>();
         start(1, 1, endPoint -> {
-            if (made.getAndIncrement() == 0) {
+            if (connectionCount.getAndIncrement() == 0) {
                 throw new IllegalStateException("broken on purpose");
             }
-            second.complete(endPoint);
-            return new StillClient(endPoint);
+            secondEndPoint.complete(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
-            try (Socket one = new Socket(LOOPBACK, server.socket().getLocalPort());
-                    Socket two = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                assertThat(ended(one)).isTrue();
-                assertThat(second.get().isOpen()).isTrue();
-                assertThat(two.isConnected()).isTrue();
+            connectionManager.listen(server);
+            try (Socket firstClient = new Socket(LOOPBACK, server.socket().getLocalPort());
+                    Socket secondClient = new Socket(LOOPBACK, server.socket().getLocalPort())) {
+                assertThat(isEnded(firstClient)).isTrue();
+                assertThat(secondEndPoint.get().isOpen()).isTrue();
+                assertThat(secondClient.isConnected()).isTrue();
             }
         }
     }
 
-    /** Whoever dialed hears of it, or waits for ever: discovery would be asked no more. */
+    /** Without the report the dialer would wait for ever, and discovery would never be called again. */
     @Test
-    void aDialThatIsUpAtOnceAndBreaksIsHeardOf() throws Exception {
-        start(1, 1, StillClient::new);
+    void failureOfImmediatelyConnectedDialIsReported() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
-            Asker broken = new Asker(true);
+            RecordingDialHandler broken = new RecordingDialHandler(true);
             SocketChannel channel = SocketChannel.open(server.getLocalSocketAddress());
             channel.configureBlocking(false);
-            dialer.accept(channel, broken); // as where the connect came up within the call
-            assertThat(broken.up.handle((up, cause) -> cause.getMessage()).get())
+            connectionManager.accept(channel, broken); // as when connect() succeeds immediately
+            assertThat(broken.result.handle((up, cause) -> cause.getMessage()).get())
                     .isEqualTo("broken on purpose");
         }
     }
 
     /**
-     * Short of processor time, the limit on a connect runs out before the selector has looked at a connection that is long
-     * up: discovery was then taken for silent, and a list from before for the present one.
+     * In a process short of processor time the connect timeout may fire before the selector has noticed an established
+     * connection. Discovery was then taken for unavailable, and an outdated server list was used.
      */
     @Test
-    void whatIsUpIsNotTakenForNeverUp() throws Exception {
-        start(1, 1, StillClient::new);
+    void establishedConnectionIsNotTimedOut() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
             holdSelector();
-            Asker asker = new Asker(false);
-            assertThat(dialer.dial((InetSocketAddress) server.getLocalSocketAddress(), 0, asker))
+            RecordingDialHandler asker = new RecordingDialHandler(false);
+            assertThat(connectionManager.dial((InetSocketAddress) server.getLocalSocketAddress(), 0, asker))
                     .isTrue();
             try (Socket accepted = server.accept()) {
                 timers.runAll();
-                free.countDown();
-                assertThat(asker.up.get().isOpen()).isTrue();
+                selectorReleased.countDown();
+                assertThat(asker.result.get().isOpen()).isTrue();
                 assertThat(accepted.isConnected()).isTrue();
             }
         }
     }
 
-    /** And what never comes up is given up when its time is over, and its descriptor can be had again. */
+    /** A dial that doesn't connect in time fails. */
     @Test
-    void whatNeverComesUpIsGivenUp() throws Exception {
-        start(1, 1, StillClient::new);
+    void connectTimeoutFailsTheDial() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket full = new ServerSocket(0, 1, LOOPBACK)) {
             List<SocketChannel> queue = new ArrayList<>();
             try {
-                // A queue that is full answers no more: what is dialed beyond it stays pending.
+                // With a full backlog the kernel no longer answers: further dials stay pending.
                 SocketChannel last = null;
                 while (last == null || last.finishConnect()) {
                     last = SocketChannel.open();
@@ -276,12 +277,14 @@
                     queue.add(last);
                     last.connect(full.getLocalSocketAddress());
                 }
-                Asker asker = new Asker(false);
-                assertThat(dialer.dial((InetSocketAddress) full.getLocalSocketAddress(), 0, asker))
+                RecordingDialHandler asker = new RecordingDialHandler(false);
+                assertThat(connectionManager.dial((InetSocketAddress) full.getLocalSocketAddress(), 0, asker))
                         .isTrue();
                 timers.runAll();
-                assertThat(asker.up.handle((up, cause) -> cause.getMessage()).get())
-                        .isEqualTo("not up in 250 ms");
+                assertThat(asker.result
+                                .handle((up, cause) -> cause.getMessage())
+                                .get())
+                        .isEqualTo("not connected within 250 ms");
             } finally {
                 for (SocketChannel channel : queue) {
                     channel.close();
@@ -291,53 +294,54 @@
     }
 
     /**
-     * The descriptor of a closed channel is held until the selector has dropped its key; a dial that took its place before
-     * that would be one more than the limit allows.
+     * The descriptor of a closed channel stays open until the selector has dropped its key; a dial before that would exceed
+     * the descriptor budget.
      */
     @Test
-    void aDialTakesThePlaceOfAClosedOneOnlyOnceItsDescriptorIsReleased() throws Exception {
-        start(1, 1, StillClient::new);
+    void dialWaitsForReleaseOfClosedDescriptor() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            Asker first = new Asker(false);
-            assertThat(dialer.dial(address, 0, first)).isTrue();
-            EndPoint up = first.up.get();
+            RecordingDialHandler first = new RecordingDialHandler(false);
+            assertThat(connectionManager.dial(address, 0, first)).isTrue();
+            EndPoint up = first.result.get();
             try (Socket accepted = server.accept()) {
                 holdSelector();
                 up.close();
-                letThePoolFinish();
-                assertThat(dialer.dial(address, 0, new Asker(false))).isFalse();
-                free.countDown();
-                Asker second = new Asker(false);
-                while (!dialer.dial(address, 0, second)) {
+                awaitPoolIdle();
+                assertThat(connectionManager.dial(address, 0, new RecordingDialHandler(false)))
+                        .isFalse();
+                selectorReleased.countDown();
+                RecordingDialHandler second = new RecordingDialHandler(false);
+                while (!connectionManager.dial(address, 0, second)) {
                     Thread.onSpinWait();
                 }
-                assertThat(second.up.get().isOpen()).isTrue();
+                assertThat(second.result.get().isOpen()).isTrue();
                 assertThat(accepted.isConnected()).isTrue();
             }
         }
     }
 
-    /** One round of accepts may take long, and in it no closed channel's descriptor is released. */
+    /** A selector round with many accepts may take long, and releases no descriptors of closed channels until its end. */
     @Test
-    void aClientTakesThePlaceOfAClosedOneOnlyOnceItsDescriptorIsReleased() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+    void acceptWaitsForReleaseOfClosedDescriptor() throws Exception {
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
-            in.add(endPoint);
-            return new StillClient(endPoint);
+            acceptedEndPoints.add(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                EndPoint served = in.take();
+                EndPoint firstEndPoint = acceptedEndPoints.take();
                 holdSelector();
                 try (Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                    served.close();
-                    letThePoolFinish();
-                    assertThat(dialer.doAccept(server)).isNull();
-                    free.countDown();
-                    assertThat(in.take().isOpen()).isTrue();
+                    firstEndPoint.close();
+                    awaitPoolIdle();
+                    assertThat(connectionManager.doAccept(server)).isNull();
+                    selectorReleased.countDown();
+                    assertThat(acceptedEndPoints.take().isOpen()).isTrue();
                     assertThat(first.getInputStream().read()).isEqualTo(-1);
                     assertThat(second.isConnected()).isTrue();
                 }
@@ -345,15 +349,15 @@
         }
     }
 
-    /** A dial that failed after its channel was known to the selector holds its descriptor as long. */
+    /** A dial that fails after its channel was registered also keeps its descriptor until the next selection. */
     @Test
-    void aFailedDialGivesItsPermitBackOnlyOnceItsDescriptorIsReleased() throws Exception {
-        start(1, 1, StillClient::new);
+    void failedDialReturnsPermitOnlyAfterDescriptorRelease() throws Exception {
+        start(1, 1, IdleClientConnection::new);
         try (ServerSocket server = new ServerSocket(0, 5, LOOPBACK)) {
             CountDownLatch opening = new CountDownLatch(1), fails = new CountDownLatch(1);
             CompletableFuture<Throwable> failed = new CompletableFuture<>();
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            assertThat(dialer.dial(address, 0, new ConnectionManager.DialHandler() {
+            assertThat(connectionManager.dial(address, 0, new ConnectionManager.DialHandler() {
                         @Override
                         public Connection apply(EndPoint endPoint) {
                             opening.countDown();
@@ -371,36 +375,37 @@
             holdSelector();
             fails.countDown();
             assertThat(failed.get()).hasMessage("broken on purpose");
-            assertThat(dialer.dial(address, 0, new Asker(false))).isFalse();
-            free.countDown();
-            Asker second = new Asker(false);
-            while (!dialer.dial(address, 0, second)) {
+            assertThat(connectionManager.dial(address, 0, new RecordingDialHandler(false)))
+                    .isFalse();
+            selectorReleased.countDown();
+            RecordingDialHandler second = new RecordingDialHandler(false);
+            while (!connectionManager.dial(address, 0, second)) {
                 Thread.onSpinWait();
             }
-            assertThat(second.up.get().isOpen()).isTrue();
+            assertThat(second.result.get().isOpen()).isTrue();
         }
     }
 
-    /** A selector that keeps looking for connections that it may not accept never rests. */
+    /** Otherwise the selector would spin on connections that it may not accept. */
     @Test
-    void nothingIsLookedForWhileAllDescriptorsOfClientsAreInUse() throws Exception {
-        BlockingQueue<EndPoint> in = new LinkedBlockingQueue<>();
+    void acceptInterestIsOffWhileClientPermitsAreExhausted() throws Exception {
+        BlockingQueue<EndPoint> acceptedEndPoints = new LinkedBlockingQueue<>();
         start(1, 1, endPoint -> {
-            in.add(endPoint);
-            return new StillClient(endPoint);
+            acceptedEndPoints.add(endPoint);
+            return new IdleClientConnection(endPoint);
         });
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(LOOPBACK, 0), 10);
-            dialer.listen(server);
+            connectionManager.listen(server);
             try (Socket first = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                EndPoint served = in.take();
+                EndPoint firstEndPoint = acceptedEndPoints.take();
                 try (Socket second = new Socket(LOOPBACK, server.socket().getLocalPort())) {
-                    letTheSelectorFinish();
-                    SelectionKey key =
-                            server.keyFor(dialer.getBean(ManagedSelector.class).getSelector());
+                    awaitTwoSelections();
+                    SelectionKey key = server.keyFor(
+                            connectionManager.getBean(ManagedSelector.class).getSelector());
                     assertThat(key.interestOps()).isZero();
-                    served.close();
-                    assertThat(in.take().isOpen())
+                    firstEndPoint.close();
+                    assertThat(acceptedEndPoints.take().isOpen())
                             .as("accepted as soon as there is room")
                             .isTrue();
                     assertThat(first.getInputStream().read()).isEqualTo(-1);
@@ -410,41 +415,41 @@
         }
     }
 
-    /** Holds the selector's thread, which is one of the pool's, between two selections until {@link #free} is down. */
+    /** Blocks the selector's thread, one of the pool's, between two selections until {@link #selectorReleased}. */
     private void holdSelector() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
-        dialer.getBean(ManagedSelector.class).submit(keys -> {
+        connectionManager.getBean(ManagedSelector.class).submit(keys -> {
             held.countDown();
-            await(free);
+            await(selectorReleased);
         });
         held.await();
     }
 
-    /** Returns once the selector has been through two selections and what it was to do between them. */
-    private void letTheSelectorFinish() throws InterruptedException {
+    /** Returns once the selector has completed two selections and the tasks between them. */
+    private void awaitTwoSelections() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        ManagedSelector selector = dialer.getBean(ManagedSelector.class);
+        ManagedSelector selector = connectionManager.getBean(ManagedSelector.class);
         selector.submit(first -> selector.submit(second -> selector.submit(third -> done.countDown())));
         done.await();
     }
 
-    /** Returns once all that was given to the pool has run, but for the selector's thread. */
-    private void letThePoolFinish() throws Exception {
-        CyclicBarrier all = new CyclicBarrier(THREADS - 1);
-        List<Future<Integer>> met = new ArrayList<>();
-        for (int k = 0; k < THREADS - 1; k++) {
-            met.add(pool.submit(() -> all.await()));
+    /** Returns once all tasks submitted to the pool have run, except the selector's. */
+    private void awaitPoolIdle() throws Exception {
+        CyclicBarrier allThreads = new CyclicBarrier(POOL_THREADS - 1);
+        List<Future<Integer>> tasks = new ArrayList<>();
+        for (int k = 0; k < POOL_THREADS - 1; k++) {
+            tasks.add(pool.submit(() -> allThreads.await()));
         }
-        for (Future<Integer> each : met) {
-            each.get();
+        for (Future<Integer> task : tasks) {
+            task.get();
         }
     }
 
-    private static boolean ended(Socket socket) {
+    private static boolean isEnded(Socket socket) {
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException e) {
-            return true; // a reset ends it too
+            return true; // reset
         }
     }
 
--- a/src/test/java/barrowshore/net/HeldSelector.java
+++ b/src/test/java/barrowshore/net/HeldSelector.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.CountDownLatch;
 import org.eclipse.jetty.io.ManagedSelector;
 
-/** Holds a dialer's selector: what happens to its connections meanwhile is known to the kernel, but not to the program. */
+/** Blocks a connection manager's selector, so that the kernel knows of events on connections but the program doesn't. */
 public final class HeldSelector implements AutoCloseable {
-    private final CountDownLatch free = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
 
-    /** Returns once the selector is held. */
-    public HeldSelector(ConnectionManager dialer) throws InterruptedException {
+    /** Returns once the selector is blocked. */
+    public HeldSelector(ConnectionManager connectionManager) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
-        dialer.getBean(ManagedSelector.class).submit(keys -> {
+        connectionManager.getBean(ManagedSelector.class).submit(keys -> {
             held.countDown();
             try {
-                free.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -21,9 +21,9 @@
         held.await();
     }
 
-    /** Lets it go on; may be called again. */
+    /** Unblocks the selector; may be called repeatedly. */
     public void release() {
-        free.countDown();
+        released.countDown();
     }
 
     @Override
--- a/src/test/java/barrowshore/servers/LoadReportTest.java
+++ b/src/test/java/barrowshore/servers/LoadReportTest.java
@@ -7,18 +7,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What of a server's load report is taken: figures that a machine can have, and nothing else. */
+/** Parsing of a server's load report: only plausible values are accepted. */
 class LoadReportTest {
     @ParameterizedTest
     @ValueSource(strings = {"-0.5", "1e18", "1e999", "\"4\"", "null", "true", "[4]", "{}", "NaN"})
-    void aFigureThatNoMachineCanHaveIsNone(String value) {
-        assertThat(Server.load(Json.parseOrNull("{\"inflight\":" + value + ",\"util\":1,\"x0\":2.5}")))
+    void impossibleValueIsIgnored(String value) {
+        assertThat(Server.parseLoad(Json.parseOrNull("{\"inflight\":" + value + ",\"util\":1,\"x0\":2.5}")))
                 .isEqualTo(new Load(Double.NaN, Double.NaN, 2.5));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "{\"inflight\":7", "[]", "7", "{}", "inflight=7"})
-    void whatIsNoReportIsNone(String text) {
-        assertThat(Server.load(Json.parseOrNull(text))).isNull();
+    void invalidReportYieldsNull(String text) {
+        assertThat(Server.parseLoad(Json.parseOrNull(text))).isNull();
     }
 }
