--- a/src/benchmark/java/barrowshore/module/PickBenchmark.java
+++ b/src/benchmark/java/barrowshore/module/PickBenchmark.java
@@ -43,7 +43,7 @@
     /** Different datagrams that a peer has told, and where they hold the number of the peer's life (SlotSnapshot). */
     private static final int DATAGRAMS = 512, INCARNATION_OFFSET = 1;
 
-    private static final int MOST_STEPS = 20 * DATAGRAMS;
+    private static final int MAX_STEPS = 20 * DATAGRAMS;
 
     @Param({"10", "96", "385", "770", "1540"})
     int servers;
@@ -51,15 +51,15 @@
     @Param({"false", "true"})
     boolean halls;
 
-    private Dispatcher module;
+    private Dispatcher dispatcher;
     private long now = 1_000_000_000L;
-    private int number;
+    private int requestCount;
     private final List<byte[]> datagrams = new ArrayList<>();
-    private long heard;
-    private long changes;
+    private long receivedDatagrams;
+    private long listChanges;
 
-    private static final class Nothing implements DispatchApi.Actions {
-        final List<byte[]> told = new ArrayList<>();
+    private static final class RecordingActions implements DispatchApi.Actions {
+        final List<byte[]> peerMessages = new ArrayList<>();
 
         @Override
         public void send(String id, String worker, long timeout) {}
@@ -78,7 +78,7 @@
 
         @Override
         public void sendToPeers(byte[] message) {
-            told.add(message);
+            peerMessages.add(message);
         }
 
         @Override
@@ -91,20 +91,20 @@
         public void log(String line) {}
     }
 
-    private Dispatcher module(int me, long seed, Nothing actions) {
-        Settings set = new Settings();
-        set.seed = seed;
-        set.classes =
+    private Dispatcher newDispatcher(int me, long seed, RecordingActions actions) {
+        Settings settings = new Settings();
+        settings.seed = seed;
+        settings.classes =
                 new JobClass[] {new JobClass(200_000, 1, 5_000_000, 10, 0, RepeatSafety.SAFE, DedupScope.ALL, 0, -1, 0)
                 };
-        set.dispatchers = DISPATCHERS;
-        set.ownIndex = me;
-        set.mayMessagePeers = true;
-        set.crossZoneCharge = 0.1;
-        set.notesStart = true;
-        set.progressMicros = 2_000_000;
-        set.halls = halls ? HallRules.defaults(List.of("a", "b", "c", "d"), 0) : null;
-        Dispatcher made = new Dispatcher(set, actions);
+        settings.dispatchers = DISPATCHERS;
+        settings.ownIndex = me;
+        settings.mayMessagePeers = true;
+        settings.crossZoneCharge = 0.1;
+        settings.notesStart = true;
+        settings.progressMicros = 2_000_000;
+        settings.halls = halls ? HallRules.defaults(List.of("a", "b", "c", "d"), 0) : null;
+        Dispatcher made = new Dispatcher(settings, actions);
         List<Member> list = new ArrayList<>();
         for (int k = 0; k < servers; k++) {
             list.add(member(k, Health.READY));
@@ -120,66 +120,66 @@
 
     @Setup
     public void start() {
-        datagrams.addAll(tellings(1));
-        module = module(0, 1, new Nothing());
+        datagrams.addAll(recordPeerDatagrams(1));
+        dispatcher = newDispatcher(0, 1, new RecordingActions());
         for (int k = 0; k < 1000; k++) {
             requestWithItsOutcome();
         }
-        module.timerFired(now, "refresh");
+        dispatcher.timerFired(now, "refresh");
     }
 
     /** What a peer tells in one of its lives, as it starts and ends tasks. */
-    private List<byte[]> tellings(long seed) {
-        Nothing actions = new Nothing();
-        Dispatcher peer = module(1, seed, actions);
+    private List<byte[]> recordPeerDatagrams(long seed) {
+        RecordingActions actions = new RecordingActions();
+        Dispatcher peer = newDispatcher(1, seed, actions);
         long time = now;
-        for (int step = 0; step < MOST_STEPS && actions.told.size() < DATAGRAMS; step++) {
+        for (int step = 0; step < MAX_STEPS && actions.peerMessages.size() < DATAGRAMS; step++) {
             String id = "x" + step;
             time += 80_000;
             peer.request(time, new Request(id, 0, -1, 1, 0, 5_000_000));
             peer.timerFired(time, "refresh");
             peer.outcome(time, id, 0, true, Status.OK, 100_000, null);
         }
-        return actions.told;
+        return actions.peerMessages;
     }
 
     /** A datagram that was dropped costs nothing, and would be measured for one that was entered. */
     @TearDown
     public void check() {
-        if (heard > 0 && module.workCounters().datagrams() < heard / 2) {
+        if (receivedDatagrams > 0 && dispatcher.workCounters().datagrams() < receivedDatagrams / 2) {
             throw new IllegalStateException(
-                    module.workCounters().datagrams() + " of " + heard + " datagrams were entered");
+                    dispatcher.workCounters().datagrams() + " of " + receivedDatagrams + " datagrams were entered");
         }
     }
 
     @Benchmark
     public void requestWithItsOutcome() {
-        String id = "r" + ++number;
+        String id = "r" + ++requestCount;
         now += 1_000;
-        module.request(now, new Request(id, 0, -1, 1, 0, 5_000_000));
-        module.note(now + 500, id, 0, Note.STARTED, 0);
-        module.outcome(now + 900, id, 0, true, Status.OK, 100_000, null);
+        dispatcher.request(now, new Request(id, 0, -1, 1, 0, 5_000_000));
+        dispatcher.note(now + 500, id, 0, Note.STARTED, 0);
+        dispatcher.outcome(now + 900, id, 0, true, Status.OK, 100_000, null);
     }
 
     @Benchmark
     public void refresh() {
         now += 80_000;
-        module.timerFired(now, "refresh");
+        dispatcher.timerFired(now, "refresh");
     }
 
     @Benchmark
     public void datagram() {
-        byte[] next = datagrams.get((int) (heard % datagrams.size()));
+        byte[] next = datagrams.get((int) (receivedDatagrams % datagrams.size()));
         // A later life in each round, or what is told again would be dropped as doubled.
-        ByteBuffer.wrap(next).putInt(INCARNATION_OFFSET, (int) (1 + heard / datagrams.size()));
-        heard++;
-        module.peerMessage(now, 1, next);
+        ByteBuffer.wrap(next).putInt(INCARNATION_OFFSET, (int) (1 + receivedDatagrams / datagrams.size()));
+        receivedDatagrams++;
+        dispatcher.peerMessage(now, 1, next);
     }
 
     @Benchmark
     public void listChange() {
-        int changed = (int) (changes / 2 % servers);
-        Health health = changes++ % 2 == 0 ? Health.DRAINING : Health.READY;
-        module.list(now, ListKind.CHANGES, List.of(member(changed, health)));
+        int changed = (int) (listChanges / 2 % servers);
+        Health health = listChanges++ % 2 == 0 ? Health.DRAINING : Health.READY;
+        dispatcher.list(now, ListKind.CHANGES, List.of(member(changed, health)));
     }
 }
--- a/src/main/java/barrowshore/module/Fade.java
+++ b/src/main/java/barrowshore/module/DecayWeight.java
@@ -5,18 +5,18 @@
  * such time it is the plain mean of what was seen, or a process that has just started would take a full fleet for an
  * empty one for as long as it takes to forget.
  */
-final class Fade {
-    private long bornAt = -1, at;
+final class DecayWeight {
+    private long firstAt = -1, lastAt;
 
     /** What to keep at this look; the first one keeps nothing, and neither does one with no time since. */
-    double keep(long now, double halfLife) {
-        long before = at;
-        at = now;
-        if (bornAt < 0) {
-            bornAt = now;
+    double nextKeepShare(long now, double halfLife) {
+        long previousAt = lastAt;
+        lastAt = now;
+        if (firstAt < 0) {
+            firstAt = now;
             return 0;
         }
-        double plain = now > bornAt ? (before - bornAt) / (double) (now - bornAt) : 0;
-        return Math.min(plain, Math.pow(0.5, (now - before) / halfLife));
+        double plainMeanShare = now > firstAt ? (previousAt - firstAt) / (double) (now - firstAt) : 0;
+        return Math.min(plainMeanShare, Math.pow(0.5, (now - previousAt) / halfLife));
     }
 }
--- a/src/main/java/barrowshore/module/Dispatcher.java
+++ b/src/main/java/barrowshore/module/Dispatcher.java
@@ -1,4 +1,4 @@
-// The decisions of one dispatcher. The whole interface of this module is one small file: DispatchApi.java.
+// Part of the decision module; its whole interface is DispatchApi.java.
 package barrowshore.module;
 
 import barrowshore.budget.ColdWorkerBudget;
@@ -8,230 +8,266 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Picks, attempts, answers, refusals, fairness and the list. Ordinary path: the lowest current index. */
+/**
+ * Decides for one dispatcher: which worker gets a job, when to retry, hedge or refuse it. It normally sends a
+ * job to the worker with the lowest current index. Owned and called by a single thread.
+ */
 public final class Dispatcher implements DispatchApi {
-    // Shares and multiples of told or learned figures, each with its reason.
-    private static final int REFRESH_TICKS = 16; // between refreshes, before jitter: far under a job's time
-    private static final double TIE = 0.05; // indices within this share are a tie, broken at random
-    private static final double PATIENCE = 2; // mean aims that a job of mean worth is worth waiting: R
-    static final double ASIDE = 4; // connect time-outs aside, at first, for a broken worker
-    private static final double LOAD_JOBS = 8; // half-life of the fleet's load, in mean jobs
-    private static final double LEARN = 0.01; // weight of a job in a mean
-    private static final double MAX_WEIGHT = 4; // jobs that one noted job may count for
-    private static final double RETRY_SHARE = 0.1, RETRIES_SAVED = 100; // repeats: a request; saved at most
-    private static final double TIGHT = 0.6; // share of the aim in running from which each bit more costs
-    private static final int HALLS_REFRESHES = 6; // refreshes between two tellings of the halls' states
-    private static final double CROSSING = 3; // mean aims of delay worth a point for crossing zones
-
-    private final Settings set;
-    private final Actions act;
+    /** Ticks between refreshes, before jitter; far shorter than a job. */
+    private static final int REFRESH_PERIOD_TICKS = 16;
+    /** Costs that differ by less than this share are a tie, broken at random. */
+    private static final double TIE_SHARE = 0.05;
+    /**
+     * The index policy's reward R (Berten and Gaujal) for a job of mean worth: the longest wait to accept.
+     */
+    private static final double MAX_WAIT_MEAN_TARGETS = 2;
+    /** How long a worker that fails to connect gets no jobs at first. */
+    static final double AVOIDANCE_CONNECT_TIMEOUTS = 4;
+    /** Half-life of the fleet's load, in mean job times. */
+    private static final double LOAD_HALF_LIFE_JOBS = 8;
+    /** Weight of one job in a running mean. */
+    private static final double MEAN_JOB_WEIGHT = 0.01;
+    /** The most jobs that one job timed by a progress note may stand for. */
+    private static final double MAX_PROGRESS_WEIGHT_JOBS = 4;
+    /** Retry budget: retries that a request earns, and the most that may be saved up. */
+    private static final double RETRIES_PER_REQUEST = 0.1, MAX_SAVED_RETRIES = 100;
+    /** Running time beyond this share of the target costs extra, as it leaves little for waiting. */
+    private static final double TIGHT_TARGET_SHARE = 0.6;
+    /** Refreshes between two messages about the halls' states. */
+    private static final int HALL_MESSAGE_REFRESHES = 6;
+    /** Mean targets of delay that one point charged for crossing zones is worth. */
+    private static final double CROSSING_MEAN_TARGETS_PER_POINT = 3;
+
+    private final Settings settings;
+    private final Actions actions;
     private final Rng rng;
-    private final HallSide halls; // which halls a job may go to; off unless the operators say so
-    private final Roster roster;
-    private final Ledger ledger;
-    private final Traffic mean;
-    private final Kind[] kinds;
-    private final Peers peers;
-    private final Quotas quotas;
-    private final TokenBucket retries = new TokenBucket(RETRIES_SAVED, RETRIES_SAVED / 10);
-    private final WorkCounters effort = new WorkCounters();
-    private ColdWorkerBudget.Terms turns;
+    private final HallAdapter halls;
+    private final WorkerList workers;
+    private final OpenJobs openJobs;
+    private final TrafficStats traffic;
+    private final MachineKind[] kinds;
+    private final PeerSlotExchange peerSlots;
+    private final TenantQuotas quotas;
+    private final TokenBucket retries = new TokenBucket(MAX_SAVED_RETRIES, MAX_SAVED_RETRIES / 10);
+    private final WorkCounters workCounters = new WorkCounters();
+    private ColdWorkerBudget.Terms coldTerms;
     private final FleetView fleet;
-    private int askFailures, probeNext, refreshes;
-    private boolean asking;
+    private int listFailures, nextProbeIndex, refreshCount;
+    private boolean awaitsList;
 
-    /** What it has gone over so far. */
+    /** Counts of the entries visited so far. */
     public WorkCounters workCounters() {
-        return effort;
-    }
-
-    /** A dispatcher that decides by the settings and orders through the actions; call start first. */
-    public Dispatcher(Settings settings, Actions actions) {
-        this(settings, actions, new IndexTableCache());
-    }
-
-    /** The same, with tables that other dispatchers of this thread may have worked out. */
-    public Dispatcher(Settings settings, Actions actions, IndexTableCache shared) {
-        settings.validate();
-        set = settings.copy();
-        act = actions;
-        rng = new Rng(settings.seed);
-        ledger = new Ledger(set.kinds);
-        mean = new Traffic(set);
-        halls = new HallSide(set, act, rng, mean);
-        roster = new Roster(halls);
-        kinds = new Kind[set.kinds];
-        Arrays.setAll(kinds, k -> new Kind(mean.work));
-        peers = new Peers(set.dispatchers, set.ownIndex, roster, effort);
+        return workCounters;
+    }
+
+    /** Copies the settings; call {@link #start} before anything else. */
+    public Dispatcher(Settings initialSettings, Actions actionHandler) {
+        this(initialSettings, actionHandler, new IndexTableCache());
+    }
+
+    /** Shares computed index tables with other dispatchers of the same thread. */
+    public Dispatcher(Settings initialSettings, Actions actionHandler, IndexTableCache sharedTables) {
+        initialSettings.validate();
+        settings = initialSettings.copy();
+        actions = actionHandler;
+        rng = new Rng(initialSettings.seed);
+        openJobs = new OpenJobs(settings.kinds);
+        traffic = new TrafficStats(settings);
+        halls = new HallAdapter(settings, actions, rng, traffic);
+        workers = new WorkerList(halls);
+        kinds = new MachineKind[settings.kinds];
+        Arrays.setAll(kinds, k -> new MachineKind(traffic.meanWork));
+        peerSlots = new PeerSlotExchange(settings.dispatchers, settings.ownIndex, workers, workCounters);
         fleet = new FleetView(
-                set, new FleetView.Records(mean, kinds, ledger, roster), halls, peers, shared, rng, effort);
-        quotas = new Quotas(set);
-        terms();
-    }
-
-    /** What follows from the classes and tenants. */
-    private void terms() {
-        mean.enter(kinds);
-        quotas.enter();
-        double aim = Arrays.stream(set.classes)
+                settings,
+                new FleetView.Sources(traffic, kinds, openJobs, workers),
+                halls,
+                peerSlots,
+                sharedTables,
+                rng,
+                workCounters);
+        quotas = new TenantQuotas(settings);
+        applyClassesAndTenants();
+    }
+
+    /** Updates what depends on the configured classes and tenants. */
+    private void applyClassesAndTenants() {
+        traffic.applyClasses(kinds);
+        quotas.applyQuotas();
+        double meanTarget = Arrays.stream(settings.classes)
                 .mapToLong(JobClass::targetMicros)
                 .average()
                 .orElse(0);
-        turns = ColdWorkerBudget.Terms.of(
-                        set.dispatchers, set.ownIndex, set.overloadWindowMicros, set.overloadMultiple, aim)
-                .keepStartOf(turns);
+        coldTerms = ColdWorkerBudget.Terms.of(
+                        settings.dispatchers,
+                        settings.ownIndex,
+                        settings.overloadWindowMicros,
+                        settings.overloadMultiple,
+                        meanTarget)
+                .keepStartOf(coldTerms);
     }
 
     @Override
     public void start(long now) {
-        turns = turns.startedAt(now);
+        coldTerms = coldTerms.startedAt(now);
         quotas.start(now);
         fleet.start(now);
-        peers.start(now);
-        act.setTimer((long) (REFRESH_TICKS * set.tickMicros * (0.5 + rng.next())), "refresh");
-        if (set.pollsList) {
-            ask();
+        peerSlots.start(now);
+        actions.setTimer((long) (REFRESH_PERIOD_TICKS * settings.tickMicros * (0.5 + rng.next())), "refresh");
+        if (settings.pollsList) {
+            watchWorkerList();
         }
     }
 
-    private void ask() {
-        asking = true;
-        act.watchList();
+    private void watchWorkerList() {
+        awaitsList = true;
+        actions.watchList();
     }
 
     @Override
-    public void list(long now, ListKind how, List<Member> entries) {
-        if (how == ListKind.FAILED) {
-            // Guards against a storm of calls at a list service that is behind: back off inside askEvery.
-            double share = Math.min(1 / 3.0, (1 << Math.min(++askFailures, 6)) / 40.0);
-            act.setTimer((long) (set.listPollMicros * share * (0.5 + rng.next())), "ask");
-            asking = true;
+    public void list(long now, ListKind kind, List<Member> entries) {
+        if (kind == ListKind.FAILED) {
+            // Backs off, within the poll interval, so that a slow list service is not flooded with calls.
+            double pollShare = Math.min(1 / 3.0, (1 << Math.min(++listFailures, 6)) / 40.0);
+            actions.setTimer((long) (settings.listPollMicros * pollShare * (0.5 + rng.next())), "ask");
+            awaitsList = true;
             return;
         }
-        asking &= how == ListKind.INITIAL;
-        askFailures = asking ? askFailures : 0;
-        entries.forEach(set::check);
-        // Rule: a worker that drains or is gone leaves at once.
-        fleet.listed(now, roster.enter(how, entries, now, set.ratingsReflectLoad));
-        probeNext = (int) (rng.next() * roster.ready.length);
+        awaitsList &= kind == ListKind.INITIAL;
+        listFailures = awaitsList ? listFailures : 0;
+        entries.forEach(settings::check);
+        // A worker that drains or is gone must get no further job.
+        fleet.updateListed(now, workers.update(kind, entries, now, settings.ratingsReflectLoad));
+        nextProbeIndex = (int) (rng.next() * workers.ready.length);
         refresh(now);
     }
 
     @Override
     public void request(long now, Request r) {
-        set.check(r);
-        Job job = new Job(r, set.classes[r.jobClass()], quotas.over(now, r.tenant()), now);
-        ledger.open(job);
-        mean.enter(job, LEARN);
-        retries.add(RETRY_SHARE);
+        settings.check(r);
+        Job job = new Job(r, settings.classes[r.jobClass()], quotas.countsAsOverQuota(now, r.tenant()), now);
+        openJobs.add(job);
+        traffic.recordRequest(job, MEAN_JOB_WEIGHT);
+        retries.add(RETRIES_PER_REQUEST);
         dispatch(now, job);
-        if (set.reportSource == ReportSource.PROBES && set.mayProbe && roster.ready.length > 0) {
-            // Where load is told only when asked: look at one worker a request, in turn; never at a cold one.
-            probeNext = (probeNext + 1) % roster.ready.length;
-            Worker w = roster.ready[probeNext];
-            if (w.warmth >= 1 && now >= w.downUntil) {
-                act.probe(w.id);
+        if (settings.reportSource == ReportSource.PROBES && settings.mayProbe && workers.ready.length > 0) {
+            // Load is reported only to probes: probe one worker per request, in turn, but never a cold one.
+            nextProbeIndex = (nextProbeIndex + 1) % workers.ready.length;
+            Worker worker = workers.ready[nextProbeIndex];
+            if (worker.warmth >= 1 && now >= worker.downUntil) {
+                actions.probe(worker.id);
             }
         }
     }
 
-    /** Sends the job to the lowest index, or answers it. */
+    /** Sends the job to the worker with the lowest index, or answers it if there is none. */
     private void dispatch(long now, Job job) {
-        Worker w = job.attempts.size() < set.maxAttempts && now < job.answerBy ? pick(now, job) : null;
-        if (w == null) {
-            answer(now, job);
+        Worker worker = job.attempts.size() < settings.maxAttempts && now < job.dueAt ? pick(now, job) : null;
+        if (worker == null) {
+            refuseOrFail(now, job);
             return;
         }
-        double wait = fleet.queueing(w, job.slots);
-        Job.Attempt a = ledger.enter(job, w, now);
-        a.wait = wait;
-        halls.sent(now, a, mean.aim);
-        tell(now, w);
-        // Departure, on kinds that a class names: there a job that could go elsewhere pays for those that
-        // cannot, so the wait that it causes counts by their worth against its own.
-        kinds[w.kind].worth += LEARN * job.slots * (mean.value(job) - kinds[w.kind].worth);
-        if (w.warmth < 1) {
-            w.cold.recordSent(now, turns, mean.surely(job));
+        double wait = fleet.expectedQueueing(worker, job.slots);
+        Job.Attempt attempt = openJobs.addAttempt(job, worker, now);
+        attempt.expectedWait = wait;
+        halls.recordSent(now, attempt, traffic.meanTarget);
+        publishSlots(now, worker);
+        // Extends the index policy: on a kind of machine that some class requires, the wait that a job causes
+        // is charged by the worth of the jobs there, so that jobs that can go elsewhere do.
+        kinds[worker.kind].meanWorth +=
+                MEAN_JOB_WEIGHT * job.slots * (traffic.relativeWorth(job) - kinds[worker.kind].meanWorth);
+        if (worker.warmth < 1) {
+            worker.coldBudget.recordSent(now, coldTerms, traffic.budgetSlotWork(job));
         }
-        fleet.price(now, w);
-        act.send(job.id, w.id, 0);
+        fleet.updateCosts(now, worker);
+        actions.send(job.id, worker.id, 0);
     }
 
-    /** The best worker in the halls that are open to the job, nearer ones first where the rules want that. */
+    /** The cheapest worker in the halls open to the job, nearer tiers first where the rules ask for it. */
     private Worker pick(long now, Job job) {
         Worker best = null;
-        for (int tier = 0; best == null && tier < halls.gate.tierRounds(); tier++) {
-            best = lowest(now, job, halls.weigh(now, job, tier));
+        for (int tier = 0; best == null && tier < halls.policy.tierRounds(); tier++) {
+            best = cheapestEligible(now, job, halls.priceHalls(now, job, tier));
         }
         return best;
     }
 
-    /** The lowest current index among eligible workers where the wait is within the worth; null if none. */
-    private Worker lowest(long now, Job job, double[] prices) {
+    /** The eligible worker of lowest cost whose wait is not above the job's longest wait; null if none. */
+    private Worker cheapestEligible(long now, Job job, double[] prices) {
         Worker best = null;
-        double lowest = Double.POSITIVE_INFINITY;
-        double crossing = CROSSING * set.crossZoneCharge * mean.aim;
-        // Departure: where the aim grows with the job's own work, running slowly costs less than waiting.
-        double running = job.work / (1 + job.jobClass.targetStretch());
-        double budget = job.jobClass.targetMicros() + job.jobClass.targetStretch() * job.work;
-        // The paper's R for this job, by its worth for each unit of work. Above capacity a wait is passed on
-        // to all that follow, which a table of load 0.9 does not know.
-        double worth = PATIENCE * mean.aim * mean.value(job) / (fleet.pressure() * fleet.pressure());
-        worth *= job.overQuota ? set.overQuotaWorth : 1;
-        effort.picked(roster.ready.length);
-        for (Worker w : roster.ready) {
-            double away = prices[w.hall];
-            if (away == HallPolicy.CLOSED
-                    || away < 0 && !halls.takes(w)
-                    || w.aside(now)
-                    || job.jobClass.kind() >= 0 && w.kind != job.jobClass.kind()
-                    || !mayGo(now, job, w)) {
+        double lowestCost = Double.POSITIVE_INFINITY;
+        double crossingCost = CROSSING_MEAN_TARGETS_PER_POINT * settings.crossZoneCharge * traffic.meanTarget;
+        // Extends the index policy: if the target grows with the job's work, slow running costs less than
+        // waiting.
+        double runningCost = job.expectedWork / (1 + job.jobClass.targetStretch());
+        double target = job.jobClass.targetMicros() + job.jobClass.targetStretch() * job.expectedWork;
+        // The index policy's reward R, scaled by the job's worth per unit of work. Above capacity a wait
+        // delays all later jobs too, which a table computed for load 0.9 does not include.
+        double maxWait = MAX_WAIT_MEAN_TARGETS
+                * traffic.meanTarget
+                * traffic.relativeWorth(job)
+                / (fleet.overload() * fleet.overload());
+        maxWait *= job.overQuota ? settings.overQuotaWorth : 1;
+        workCounters.countPick(workers.ready.length);
+        for (Worker worker : workers.ready) {
+            double hallPrice = prices[worker.hall];
+            if (hallPrice == HallPolicy.CLOSED
+                    || hallPrice < 0 && !halls.mayUse(worker)
+                    || worker.isAvoided(now)
+                    || job.jobClass.kind() >= 0 && worker.kind != job.jobClass.kind()
+                    || !mayRepeatAt(now, job, worker)) {
                 continue;
             }
-            Kind k = kinds[w.kind];
-            double wait = job.slots > 1 ? fleet.waiting(w, job.slots - 1) : w.wait;
-            // Not only the cheapest is asked: where that one is crowded, one across a border may not be.
-            if (wait > worth) {
+            MachineKind kind = kinds[worker.kind];
+            double wait = job.slots > 1 ? fleet.waitCost(worker, job.slots - 1) : worker.waitCost;
+            // Checked for each worker: where the cheapest is crowded, one in another zone may be free.
+            if (wait > maxWait) {
                 continue;
             }
-            double pace = w.pace(w.held() + job.slots), run = job.work / pace;
-            // Refused at once it may be done elsewhere; sent, it would only take a slot until its time is up.
-            if (now + run > job.answerBy) {
+            double pace = worker.speedAt(worker.takenSlots() + job.slots), runTime = job.expectedWork / pace;
+            // A job that cannot end in time would only hold a slot; refused now, the client can go elsewhere.
+            if (now + runTime > job.dueAt) {
                 continue;
             }
-            // What misses its aim at a cold worker earns nothing; a rejection may be tried again.
-            if (w.warmth < 1 && now + fleet.queueing(w, job.slots) + run > job.arrivedAt + budget) {
+            // A job that misses its target at a cold worker earns nothing; a refused one can be retried.
+            if (worker.warmth < 1
+                    && now + fleet.expectedQueueing(worker, job.slots) + runTime > job.arrivedAt + target) {
                 continue;
             }
-            double cost = running / pace + wait * (k.named ? k.worth / mean.value(job) : 1);
-            cost += Math.max(0, run - TIGHT * budget); // little of the aim is left for waiting
-            cost += w.charge + crossing * HallPolicy.perServerPrice(away);
-            cost *= 1 + TIE * rng.next();
-            if (cost < lowest && (w.warmth >= 1 || w.coldMay(now, k.speed, mean.surely(job), set, turns))) {
-                lowest = cost;
-                best = w;
+            double cost = runningCost / pace
+                    + wait * (kind.requiredBySomeClass ? kind.meanWorth / traffic.relativeWorth(job) : 1);
+            cost += Math.max(0, runTime - TIGHT_TARGET_SHARE * target);
+            cost += worker.errorCost + crossingCost * HallPolicy.perServerPrice(hallPrice);
+            cost *= 1 + TIE_SHARE * rng.next();
+            if (cost < lowestCost
+                    && (worker.warmth >= 1
+                            || worker.coldBudgetAllows(
+                                    now, kind.speed, traffic.budgetSlotWork(job), settings, coldTerms))) {
+                lowestCost = cost;
+                best = worker;
             }
         }
         return best;
     }
 
-    /** Whether the class allows the job at this worker after its earlier attempts (rule: no effect twice). */
-    private boolean mayGo(long now, Job job, Worker w) {
+    /** Whether the job may run on this worker after its earlier attempts, without taking effect twice. */
+    private boolean mayRepeatAt(long now, Job job, Worker worker) {
         JobClass type = job.jobClass;
         for (int i = 0; i < job.attempts.size(); i++) {
-            Job.Attempt a = job.attempts.get(i);
-            if (a.worker == w || !a.neverRan && type.safety() == RepeatSafety.UNSAFE) {
+            Job.Attempt past = job.attempts.get(i);
+            if (past.worker == worker || !past.neverRan && type.safety() == RepeatSafety.UNSAFE) {
                 return false;
             }
-            if (!a.neverRan && type.safety() == RepeatSafety.KEYED) {
-                boolean group =
+            if (!past.neverRan && type.safety() == RepeatSafety.KEYED) {
+                boolean isInSameDedupScope =
                         switch (type.scope()) {
                             case ALL -> true;
-                            case ZONE -> w.zone == a.worker.zone;
-                            case CELL -> w.cell == a.worker.cell;
+                            case ZONE -> worker.zone == past.worker.zone;
+                            case CELL -> worker.cell == past.worker.cell;
                         };
-                // It has to come within the window, and its connection may take its time to come up.
-                if (!group || now + set.connectTimeoutMicros - a.sentAt >= type.repeatWindowMicros()) {
+                // The repeat must arrive within the window, even if connecting takes the whole time-out.
+                if (!isInSameDedupScope
+                        || now + settings.connectTimeoutMicros - past.sentAt >= type.repeatWindowMicros()) {
                     return false;
                 }
             }
@@ -239,227 +275,247 @@
         return true;
     }
 
-    /** No worker for it: a refusal where known to be harmless, else a failure; none while a copy is out. */
-    private void answer(long now, Job job) {
-        if (job.out > 0) {
+    /** Refuses the job if repeating it is harmless, else fails it; does nothing while an attempt is out. */
+    private void refuseOrFail(long now, Job job) {
+        if (job.openAttempts > 0) {
             return;
         }
-        ledger.answered(job);
-        halls.refused(now, job);
+        openJobs.markAnswered(job);
+        halls.recordRefusal(now, job);
         if (!job.mayHaveRun
                 || job.jobClass.safety() == RepeatSafety.SAFE
                 || job.jobClass.safety() == RepeatSafety.KEYED && job.jobClass.scope() == DedupScope.ALL) {
-            long delay = (long) Math.min(set.maxRetryAfterMicros, mean.work * (1 + rng.next()));
-            act.refuse(job.id, delay); // told also where the site's clients may not heed it
+            long delay = (long) Math.min(settings.maxRetryAfterMicros, traffic.meanWork * (1 + rng.next()));
+            actions.refuse(job.id, delay);
         } else {
-            act.fail(job.id);
+            actions.fail(job.id);
         }
     }
 
     @Override
     public void outcome(
-            long now, String id, int attempt, boolean closed, Status status, long latencyMicros, Load load) {
-        Job.Attempt a = ledger.attempt(id, attempt);
-        if (a == null) {
+            long now, String id, int attemptNumber, boolean closed, Status status, long latency, Load load) {
+        Job.Attempt attempt = openJobs.openAttempt(id, attemptNumber);
+        if (attempt == null) {
             return;
         }
-        Job job = a.job;
-        ledger.leave(a, status, now);
-        tell(now, a.worker);
-        learn(now, a, status, latencyMicros);
-        reported(now, a.worker, load);
-        fleet.price(now, a.worker);
-        // The budget guards against retries that amplify an overload; what never ran may go on at once.
-        boolean again = !closed
-                && (status.neverRan() || status != Status.CANCELLED && retries.take())
-                && halls.mayRepeat(now, job);
+        Job job = attempt.job;
+        openJobs.endAttempt(attempt, status, now);
+        publishSlots(now, attempt.worker);
+        learnFromEnd(now, attempt, status, latency);
+        applyLoadReport(now, attempt.worker, load);
+        fleet.updateCosts(now, attempt.worker);
+        // The budget keeps retries from amplifying an overload; a job that never ran is retried without it.
+        boolean mayRetry = !closed
+                && (status.neverRan() || status != Status.CANCELLED && retries.tryTake())
+                && halls.mayRetry(now, job);
         if (closed || job.answered) {
-            end(job);
-        } else if (again) {
+            endRequest(job);
+        } else if (mayRetry) {
             dispatch(now, job);
         } else {
-            answer(now, job);
+            refuseOrFail(now, job);
         }
     }
 
-    /** The request has ended: nothing more is sent; attempts still out are called back and awaited. */
-    private void end(Job job) {
-        for (Job.Attempt a : job.attempts) {
-            if (!a.ended && !job.answered && set.mayCancel) {
-                act.cancel(job.id, a.number);
+    /** Ends the request: sends nothing more and cancels the attempts still out. */
+    private void endRequest(Job job) {
+        for (Job.Attempt attempt : job.attempts) {
+            if (!attempt.ended && !job.answered && settings.mayCancel) {
+                actions.cancel(job.id, attempt.number);
             }
         }
-        ledger.answered(job);
+        openJobs.markAnswered(job);
     }
 
-    private void learn(long now, Job.Attempt a, Status status, long latency) {
-        Worker w = a.worker;
-        // Guards against taking a job pushed out by one of higher priority for a crash of the worker.
-        JobClass type = a.job.jobClass;
-        boolean pushed = type.safety() == RepeatSafety.SAFE && type.priority() < mean.topPriority;
+    private void learnFromEnd(long now, Job.Attempt attempt, Status status, long latency) {
+        Worker worker = attempt.worker;
+        // A reset may mean that a job of higher priority pushed this one out, not that the worker crashed.
+        JobClass jobClass = attempt.job.jobClass;
+        boolean mayBePreempted =
+                jobClass.safety() == RepeatSafety.SAFE && jobClass.priority() < traffic.highestPriority;
         if (status == Status.ERROR) {
-            w.heardAt = now;
+            worker.heardAt = now;
         }
-        halls.ended(now, a, status, pushed);
+        halls.recordEnd(now, attempt, status, mayBePreempted);
         if (status == Status.OK) {
-            w.served(now);
-            speed(now, a, latency);
-        } else if (status == Status.ERROR || status == Status.RESET && !pushed) {
-            w.failed();
+            worker.recordServed(now);
+            learnSpeed(now, attempt, latency);
+        } else if (status == Status.ERROR || status == Status.RESET && !mayBePreempted) {
+            worker.recordFailure();
         }
         if (status == Status.CONNECT_FAILED) {
-            w.strike(now, ASIDE * set.connectTimeoutMicros, rng);
-        } else if (status == Status.TIMEOUT && w.heardAt < a.sentAt && !w.silent) {
-            w.strike(now, ASIDE * set.connectTimeoutMicros, rng); // not a word for all that time
+            worker.recordStrike(now, AVOIDANCE_CONNECT_TIMEOUTS * settings.connectTimeoutMicros, rng);
+        } else if (status == Status.TIMEOUT && worker.heardAt < attempt.sentAt && !worker.silent) {
+            // The worker gave no sign at all between the sending and the time-out.
+            worker.recordStrike(now, AVOIDANCE_CONNECT_TIMEOUTS * settings.connectTimeoutMicros, rng);
         } else if (status == Status.FULL) {
-            w.heardAt = now;
-            // A full worker frees a slot about every 1/(s mu); jittered so that dispatchers come back apart.
-            w.fullUntil = now + (long) (mean.work / w.speed / w.table.slots * (0.5 + 2 * rng.next()));
+            worker.heardAt = now;
+            // Until it frees a slot on average; jittered so that dispatchers do not return in unison.
+            worker.fullUntil = now
+                    + (long) (traffic.meanWork
+                            / worker.speed
+                            / worker.table.slots // mean time until a slot is free
+                            * (0.5 + 2 * rng.next()));
         }
     }
 
     /**
-     * How long the job ran: since its start note; else from the share done at the last progress note, which
-     * long jobs get more often (weighed back); only where no notes exist at all, with the wait in it.
+     * Learns speeds from the job's running time: measured from its start note, else extrapolated from the
+     * last progress note (long jobs have more of them, so they weigh less), else the whole latency, wait
+     * included.
      */
-    private void speed(long now, Job.Attempt a, long latency) {
-        double ran = Math.max(1, a.startedAt > 0 ? now - a.startedAt : latency), weight = 1;
-        if (a.startedAt == 0 && set.progressMicros > 0) {
-            ran = Math.max(1, (now - a.progressAt) / Math.max(0.01, 1 - a.progress));
-            // Guards against an endless speed: a note in the tick of the answer tells nothing.
-            weight = a.progressAt == 0 || a.progressAt == now
+    private void learnSpeed(long now, Job.Attempt attempt, long latency) {
+        double runTime = Math.max(1, attempt.startedAt > 0 ? now - attempt.startedAt : latency), weight = 1;
+        if (attempt.startedAt == 0 && settings.progressMicros > 0) {
+            runTime = Math.max(1, (now - attempt.progressAt) / Math.max(0.01, 1 - attempt.progress));
+            // A progress note in the tick of the answer would give an infinite speed.
+            weight = attempt.progressAt == 0 || attempt.progressAt == now
                     ? 0
-                    : Math.min(MAX_WEIGHT, Math.max(1, set.progressMicros / ran));
+                    : Math.min(MAX_PROGRESS_WEIGHT_JOBS, Math.max(1, settings.progressMicros / runTime));
         }
-        if (weight == 0 || a.worker.warmth(now, set) < 1) {
+        if (weight == 0 || attempt.worker.currentWarmth(now, settings) < 1) {
             return;
         }
-        Kind k = kinds[a.worker.kind];
-        a.worker.ran(now, a.job.work * weight, ran * weight, set);
-        mean.ran(a.job, LEARN * weight, ran * k.speed);
-        k.ran(Math.max(LEARN, 1 / (5 + k.jobs)) * weight, a.job.work, ran);
+        MachineKind kind = kinds[attempt.worker.kind];
+        attempt.worker.recordRun(now, attempt.job.expectedWork * weight, runTime * weight, settings);
+        traffic.recordRun(attempt.job, MEAN_JOB_WEIGHT * weight, runTime * kind.speed);
+        kind.recordRun(
+                Math.max(MEAN_JOB_WEIGHT, 1 / (5 + kind.jobCount)) * weight, // first jobs weigh more
+                attempt.job.expectedWork,
+                runTime);
     }
 
-    private void reported(long now, Worker w, Load load) {
+    private void applyLoadReport(long now, Worker worker, Load load) {
         if (load != null) {
-            LoadReader.enter(now, w, kinds[w.kind], load, mean.size / mean.work, LOAD_JOBS * mean.work);
+            LoadReportReader.applyReport(
+                    now,
+                    worker,
+                    kinds[worker.kind],
+                    load,
+                    traffic.meanSlotWork / traffic.meanWork,
+                    LOAD_HALF_LIFE_JOBS * traffic.meanWork);
         }
     }
 
     @Override
-    public void note(long now, String id, int number, Note note, double share) {
-        Job.Attempt a = ledger.attempt(id, number);
-        if (a != null) {
-            a.worker.heardAt = now;
-            halls.gate.recordSignOfLife(now, a.worker.place);
-            a.startedAt = note == Note.STARTED ? now : a.startedAt;
-            a.progressAt = note == Note.PROGRESS ? now : a.progressAt;
-            a.progress = note == Note.PROGRESS ? share : a.progress;
+    public void note(long now, String id, int attemptNumber, Note note, double share) {
+        Job.Attempt attempt = openJobs.openAttempt(id, attemptNumber);
+        if (attempt != null) {
+            attempt.worker.heardAt = now;
+            halls.policy.recordSignOfLife(now, attempt.worker.hallServer);
+            attempt.startedAt = note == Note.STARTED ? now : attempt.startedAt;
+            attempt.progressAt = note == Note.PROGRESS ? now : attempt.progressAt;
+            attempt.progress = note == Note.PROGRESS ? share : attempt.progress;
         }
     }
 
     @Override
     public void clientGone(long now, String id) {
-        if (ledger.job(id) != null) {
-            end(ledger.job(id));
+        if (openJobs.job(id) != null) {
+            endRequest(openJobs.job(id));
         }
     }
 
     @Override
-    public void probed(long now, String worker, Status status, long latency, Load load) {
-        Worker w = roster.worker(worker);
-        if (w == null) {
+    public void probed(long now, String workerId, Status status, long latency, Load load) {
+        Worker worker = workers.find(workerId);
+        if (worker == null) {
             return;
         }
         if (status == Status.OK) {
-            reported(now, w, load);
+            applyLoadReport(now, worker, load);
         }
-        halls.probed(now, w, status);
+        halls.recordProbe(now, worker, status);
     }
 
-    /** Others are told what we have in flight, so that a full worker is not found out by waiting there. */
-    private void tell(long now, Worker w) {
-        fleet.lookAt(w, now);
-        peers.changed(w);
-        tell(now);
+    /** Tells peers our slots in flight, so that they need not discover a full worker by waiting there. */
+    private void publishSlots(long now, Worker worker) {
+        fleet.scheduleVisit(worker, now);
+        peerSlots.updateOwnSlots(worker);
+        publishSlots(now);
     }
 
-    private void tell(long now) {
-        byte[] message = set.mayMessagePeers && set.dispatchers > 1 ? peers.due(now, mean.work) : null;
+    private void publishSlots(long now) {
+        byte[] message = settings.mayMessagePeers && settings.dispatchers > 1
+                ? peerSlots.nextDatagram(now, traffic.meanWork)
+                : null;
         if (message != null) {
-            act.sendToPeers(message);
+            actions.sendToPeers(message);
         }
     }
 
     @Override
     public void peerMessage(long now, int from, byte[] message) {
-        if (halls.gate.receive(now, from, message)) {
+        if (halls.policy.receive(now, from, message)) {
             return;
         }
-        peers.heard(now, from, message).forEach(w -> fleet.price(now, w));
+        peerSlots.receive(now, from, message).forEach(w -> fleet.updateCosts(now, w));
     }
 
     @Override
     public void timerFired(long now, String token) {
         if (token.equals("refresh")) {
             refresh(now);
-            if (set.dispatchers > 1 && ++refreshes % HALLS_REFRESHES == 0) {
-                halls.tell(now);
+            if (settings.dispatchers > 1 && ++refreshCount % HALL_MESSAGE_REFRESHES == 0) {
+                halls.sendStates(now);
             }
-            tell(now);
-            act.setTimer((long) (REFRESH_TICKS * set.tickMicros * (0.75 + rng.next() / 2)), "refresh");
-        } else if (token.equals("ask") && asking) {
-            ask();
+            publishSlots(now);
+            actions.setTimer(
+                    (long) (REFRESH_PERIOD_TICKS * settings.tickMicros * (0.75 + rng.next() / 2)), // jitter
+                    "refresh");
+        } else if (token.equals("ask") && awaitsList) {
+            watchWorkerList();
         }
     }
 
-    /** Renews what ages; what may run twice does not wait for an attempt without a sign. */
+    /** Refreshes all estimates, and hedges safe jobs whose attempt has given no sign in time. */
     private void refresh(long now) {
         for (Job job : fleet.refresh(now)) {
-            if (set.mayHedge
+            if (settings.mayHedge
                     && job.jobClass.safety() == RepeatSafety.SAFE
-                    && job.out == 1
+                    && job.openAttempts == 1
                     && !job.answered
-                    && retries.take()
-                    && halls.mayRepeat(now, job)) {
+                    && retries.tryTake()
+                    && halls.mayRetry(now, job)) {
                 dispatch(now, job);
             }
         }
-        halls.turn(now);
+        halls.updateStates(now);
     }
 
     @Override
     public void changeHallRules(long now, HallRules rules) {
-        halls.rules(now, rules);
-        roster.all().forEach(w -> halls.enter(now, w));
-        fleet.visitAll();
+        halls.changeRules(now, rules);
+        workers.all().forEach(w -> halls.updateListing(now, w));
+        fleet.visitAllNext();
     }
 
     @Override
     public List<HallState> hallStates() {
-        return halls.gate.states();
+        return halls.policy.states();
     }
 
     @Override
     public void changeSettings(long now, Settings next) {
-        set.copyReloadableFrom(next);
-        terms();
-        fleet.visitAll();
+        settings.copyReloadableFrom(next);
+        applyClassesAndTenants();
+        fleet.visitAllNext();
         refresh(now);
     }
 
     @Override
     public void setDispatcherShare(double part) {
-        set.dispatcherShare = part;
+        settings.dispatcherShare = part;
     }
 
     @Override
     public int countAvoided(long now) {
-        return roster.avoided(now);
+        return workers.countAvoided(now);
     }
 
     @Override
     public double spilledSlots(int hall) {
-        return halls.gate.spilledSlots(hall);
+        return halls.policy.spilledSlots(hall);
     }
 }
--- a/src/main/java/barrowshore/module/IndexTableCache.java
+++ b/src/main/java/barrowshore/module/IndexTableCache.java
@@ -8,12 +8,12 @@
  * dispatchers of one thread may share this without knowing more of one another. Not thread-safe.
  */
 public final class IndexTableCache {
-    private record Shape(int slots, int bound, double load) {}
+    private record TableShape(int slots, int bound, double load) {}
 
-    private final Map<Shape, IndexTable> tables = new HashMap<>();
+    private final Map<TableShape, IndexTable> tables = new HashMap<>();
 
     /** The table of a shape, worked out the first time. */
     IndexTable get(int slots, int bound, double load) {
-        return tables.computeIfAbsent(new Shape(slots, bound, load), s -> new IndexTable(slots, bound, load));
+        return tables.computeIfAbsent(new TableShape(slots, bound, load), s -> new IndexTable(slots, bound, load));
     }
 }
--- a/src/main/java/barrowshore/module/Job.java
+++ b/src/main/java/barrowshore/module/Job.java
@@ -16,14 +16,14 @@
         long progressAt;
         double progress;
         /** How long it was expected to wait for its start when it was sent. */
-        double wait;
+        double expectedWait;
 
         boolean ended;
         /** Known not to have run. */
         boolean neverRan;
 
         /** When it last gave a sign; its sending is the first. */
-        long signAt() {
+        long lastSignAt() {
             return Math.max(sentAt, Math.max(startedAt, progressAt));
         }
 
@@ -41,31 +41,31 @@
     }
 
     final String id;
-    final int type;
+    final int classIndex;
     final JobClass jobClass;
     final double slots;
-    final double hint;
+    final double workHintMicros;
     final boolean overQuota;
-    final long answerBy;
+    final long dueAt;
     final long arrivedAt;
     final ArrayList<Attempt> attempts = new ArrayList<>(2);
-    int out;
+    int openAttempts;
     boolean answered;
     /** Whether an attempt that has ended may have run. */
     boolean mayHaveRun;
     /** Expected work at speed 1, and what it pays for each unit of work. */
-    double work;
+    double expectedWork;
 
-    double density;
+    double worthPerWork;
 
     Job(Request r, JobClass jobClass, boolean overQuota, long now) {
         this.id = r.id();
-        this.type = r.jobClass();
+        this.classIndex = r.jobClass();
         this.jobClass = jobClass;
         this.slots = r.slots();
-        this.hint = r.workHintMicros();
+        this.workHintMicros = r.workHintMicros();
         this.overQuota = overQuota;
         this.arrivedAt = now;
-        this.answerBy = now + r.timeLeftMicros();
+        this.dueAt = now + r.timeLeftMicros();
     }
 }
--- a/src/main/java/barrowshore/module/FleetLoad.java
+++ b/src/main/java/barrowshore/module/OthersLoadEstimate.java
@@ -6,41 +6,42 @@
  * has seen. Samples are added and taken back one by one, so that no worker is gone over that has not changed. It decides
  * nothing.
  */
-final class FleetLoad {
+final class OthersLoadEstimate {
     /** Up to so many dispatchers, each one's own jobs are a fair sample, and a fresher one than any report. */
-    private static final double FEW = 20;
+    private static final double FEW_DISPATCHERS = 20;
     /** What is left of sums when all has been taken back, but for rounding. */
-    private static final double NOTHING = 1e-9;
+    private static final double ROUNDING_SLOTS = 1e-9;
 
     /** What is known of one worker: its slots; the part of them seen, by the age of its report; what others usually hold. */
-    record Sample(double slots, double seen, double held) {
+    record Sample(double slots, double seenSlots, double otherSlots) {
         static final Sample NONE = new Sample(0, 0, 0);
 
         /** A worker's, now; a report counts half after halfLife. */
-        static Sample of(long now, Worker w, double halfLife) {
-            if (w.reportedAt == 0) {
-                return new Sample(w.slots, 0, 0);
+        static Sample of(long now, Worker worker, double halfLife) {
+            if (worker.reportedAt == 0) {
+                return new Sample(worker.slots, 0, 0);
             }
-            double fresh = Math.pow(0.5, (now - w.reportedAt) / halfLife);
-            return new Sample(w.slots, fresh * w.slots, fresh * w.usual);
+            double freshness = Math.pow(0.5, (now - worker.reportedAt) / halfLife);
+            return new Sample(worker.slots, freshness * worker.slots, freshness * worker.usualOtherSlots);
         }
     }
 
-    private double slots, seen, held;
+    private double slots, seenSlots, otherSlots;
 
     /** Puts one sample in the place of another. */
     void replace(Sample before, Sample after) {
         slots += after.slots - before.slots;
-        seen += after.seen - before.seen;
-        held += after.held - before.held;
+        seenSlots += after.seenSlots - before.seenSlots;
+        otherSlots += after.otherSlots - before.otherSlots;
     }
 
     /** The others' slots on all workers. extrapolated: as our own times the others. */
-    double others(double extrapolated, int dispatchers) {
-        if (seen <= NOTHING) {
+    double estimateOtherSlots(double extrapolated, int dispatchers) {
+        if (seenSlots <= ROUNDING_SLOTS) {
             return extrapolated;
         }
-        double own = 1.0 / dispatchers, told = seen / slots * Math.max(0, 1 - FEW / dispatchers);
-        return (own * extrapolated + told * held / seen * slots) / (own + told);
+        double ownWeight = 1.0 / dispatchers,
+                reportWeight = seenSlots / slots * Math.max(0, 1 - FEW_DISPATCHERS / dispatchers);
+        return (ownWeight * extrapolated + reportWeight * otherSlots / seenSlots * slots) / (ownWeight + reportWeight);
     }
 }
--- a/src/main/java/barrowshore/module/TokenBucket.java
+++ b/src/main/java/barrowshore/module/TokenBucket.java
@@ -2,22 +2,22 @@
 
 /** A token bucket; it decides nothing. */
 final class TokenBucket {
-    private final double most;
+    private final double capacity;
     private double tokens;
 
-    TokenBucket(double most, double tokens) {
-        this.most = most;
+    TokenBucket(double capacity, double tokens) {
+        this.capacity = capacity;
         this.tokens = tokens;
     }
 
-    void add(double more) {
-        tokens = Math.min(most, tokens + more);
+    void add(double amount) {
+        tokens = Math.min(capacity, tokens + amount);
     }
 
     /** Takes one token; false if there is none. */
-    boolean take() {
-        boolean there = tokens >= 1;
-        tokens -= there ? 1 : 0;
-        return there;
+    boolean tryTake() {
+        boolean hasToken = tokens >= 1;
+        tokens -= hasToken ? 1 : 0;
+        return hasToken;
     }
 }
--- a/src/main/java/barrowshore/module/WorkCounters.java
+++ b/src/main/java/barrowshore/module/WorkCounters.java
@@ -17,22 +17,22 @@
 
     WorkCounters() {}
 
-    void refreshed(long visits) {
+    void countRefresh(long visits) {
         refreshes++;
         refreshVisits += visits;
     }
 
-    void picked(long visits) {
+    void countPick(long visits) {
         picks++;
         pickVisits += visits;
     }
 
-    void listed(long visits) {
+    void countListUpdate(long visits) {
         listVisits += visits;
     }
 
     /** A datagram has come; malformed and unknown: how many of either so far. */
-    void heard(boolean entered, long visits, long malformed, long unknown) {
+    void countDatagram(boolean entered, long visits, long malformed, long unknown) {
         datagrams += entered ? 1 : 0;
         datagramVisits += visits;
         malformedDatagrams = malformed;
--- a/src/main/java/barrowshore/module/Worker.java
+++ b/src/main/java/barrowshore/module/Worker.java
@@ -5,129 +5,148 @@
 import barrowshore.module.DispatchApi.Settings;
 import java.util.ArrayList;
 
-/** What one dispatcher knows of one worker: speed, jobs in flight, health, and its budget while cold. */
+/**
+ * What one dispatcher knows of one worker: speed, jobs in flight, health, budget while cold. Owned by
+ * WorkerList.
+ */
 final class Worker {
-    /** Own evidence halves in this share of the rules' warm-up time: troubles last about as long. */
-    private static final double MEMORY = 0.25;
-    /** Errors a worker is taken to have had in the one job before its first. */
+    /** Half-life of the statistics, in warm-up times: faults last about as long. */
+    private static final double HALF_LIFE_WARM_UPS = 0.25;
+    /** Errors that a worker counts as having had in one job before its first. */
     private static final double PRIOR_ERRORS = 0.01;
 
     final String id;
-    /** Its name in what dispatchers tell one another. */
-    final int name;
+    /** Its number in the messages between dispatchers. */
+    final int exchangeName;
 
     int kind, zone, cell, hall, strikes, slots;
     double rating;
     boolean listed, draining, silent;
     long startedAt, heardAt, silentAt, fullUntil, downUntil, reportedAt;
-    /** Our attempts that are out; their slots; others' slots: expected, told by them, reported; usual. */
-    final ArrayList<Job.Attempt> out = new ArrayList<>();
-
-    double own, left, others, told, reported, usual, ownUsual, overdue;
-    final ArrayList<Ledger.Left> leftRunning = new ArrayList<>(0);
-    final ColdWorkerBudget cold = new ColdWorkerBudget();
-    /** As of the last refresh: speed, warm share, what a job waits and makes wait, cost of errors. */
-    double speed = 1, warmth = 1, wait, charge;
+    /** Our attempts that have not ended. */
+    final ArrayList<Job.Attempt> openAttempts = new ArrayList<>();
+
+    double ownSlots, // of our open attempts
+            abandonedSlots, // that cancelled or timed-out attempts of ours may still hold
+            estimatedOtherSlots, // of silent dispatchers
+            peerSlots, // that the other dispatchers have told
+            reportedOtherSlots, // of other dispatchers, by the last load report
+            usualOtherSlots, // decaying mean of the former
+            usualOwnSlots, // decaying mean of our own and abandoned slots
+            overdueMicros; // by which the most overdue job exceeds its expected running time
+
+    final ArrayList<OpenJobs.AbandonedSlots> abandoned = new ArrayList<>(0);
+    final ColdWorkerBudget coldBudget = new ColdWorkerBudget();
+    /**
+     * As of the last visit: speed, share of capacity, a job's wait including the wait it causes, error
+     * cost.
+     */
+    double speed = 1, warmth = 1, waitCost, errorCost;
 
     IndexTable table;
-    barrowshore.halls.HallServer place;
-    final Evidence seen = new Evidence();
-    final WorkerView view = new WorkerView();
+    barrowshore.halls.HallServer hallServer;
+    final WorkerStats stats = new WorkerStats();
+    final WorkerContribution contribution = new WorkerContribution();
 
     Worker(String id) {
         this.id = id;
-        this.name = barrowshore.exchange.SlotSnapshot.nameOf(id);
+        this.exchangeName = barrowshore.exchange.SlotSnapshot.nameOf(id);
     }
 
-    /** What was held against a worker is void once it has restarted. */
-    void restarted(long now) {
+    /** Forgets errors and time-outs from before a restart. */
+    void clearAfterRestart(long now) {
         downUntil = 0;
         fullUntil = 0;
         reportedAt = 0;
-        cold.clear();
-        seen.errors = 0;
-        seen.ends = 0;
+        coldBudget.clear();
+        stats.errorJobs = 0;
+        stats.endedJobs = 0;
         strikes = 0;
         heardAt = now;
         silent = false;
     }
 
-    /** Only served jobs count as completions: a fast failer or a crashed worker must not look cheap. */
-    void served(long now) {
+    /** Only served jobs clear strikes: a worker that fails fast or has crashed must not look cheap. */
+    void recordServed(long now) {
         heardAt = now;
-        seen.ends++;
+        stats.endedJobs++;
         downUntil = 0;
         strikes = 0;
     }
 
-    /** Evidence of speed: a job's expected work at speed 1, and how long it ran. */
-    void ran(long now, double expected, double took, Settings set) {
-        seen.fade(now, MEMORY * set.warmUpMicros);
-        seen.work += expected;
-        seen.took += took;
+    /** Records the expected work at speed 1 and the running time of a served job. */
+    void recordRun(long now, double work, double runTime, Settings settings) {
+        stats.decay(now, HALF_LIFE_WARM_UPS * settings.warmUpMicros);
+        stats.work += work;
+        stats.runTime += runTime;
     }
 
-    /** Struck and not yet heard to serve: one job at a time finds out. */
-    boolean onTrial() {
-        return strikes > 0 && !out.isEmpty();
+    /** After a strike, a worker gets one job at a time until it serves one. */
+    boolean isOnTrial() {
+        return strikes > 0 && !openAttempts.isEmpty();
     }
 
-    /** Whether it gets nothing just now, whatever the job. */
-    boolean aside(long now) {
-        return silent || now < fullUntil || now < downUntil || onTrial();
+    /** Whether it gets no job of any kind now. */
+    boolean isAvoided(long now) {
+        return silent || now < fullUntil || now < downUntil || isOnTrial();
     }
 
-    void failed() {
-        seen.ends++;
-        seen.errors++;
+    void recordFailure() {
+        stats.endedJobs++;
+        stats.errorJobs++;
     }
 
-    /** The share of jobs that fail here, a decaying estimate. */
-    double errorShare(long now, Settings set) {
-        seen.fade(now, MEMORY * set.warmUpMicros);
-        return (seen.errors + PRIOR_ERRORS) / (seen.ends + 1);
+    /** Decaying estimate of the share of jobs that fail here. */
+    double errorShare(long now, Settings settings) {
+        stats.decay(now, HALF_LIFE_WARM_UPS * settings.warmUpMicros);
+        return (stats.errorJobs + PRIOR_ERRORS) / (stats.endedJobs + 1);
     }
 
-    /** Speed from the kind's, as so many jobs weigh, its own served jobs, and how overdue those out are. */
-    double speed(double usual, double meanWork, double jobs) {
-        double prior = jobs * meanWork;
-        return (prior + seen.work) / (prior / usual + seen.took + overdue);
+    /**
+     * Its speed, from its own jobs, overdue ones included, and a prior of priorJobs jobs at its kind's
+     * speed.
+     */
+    double estimateSpeed(double kindSpeed, double meanWork, double priorJobs) {
+        double priorWork = priorJobs * meanWork;
+        return (priorWork + stats.work) / (priorWork / kindSpeed + stats.runTime + overdueMicros);
     }
 
-    /** Slots that are taken there, as far as is known or guessed. */
-    double held() {
-        return own + left + told + others;
+    /** Slots in use, known and estimated. */
+    double takenSlots() {
+        return ownSlots + abandonedSlots + peerSlots + estimatedOtherSlots;
     }
 
-    /** The part of its speed that jobs get which fill so many slots: a cold worker has fewer cores. */
-    double share(double filled) {
-        return warmth >= 1 ? 1 : Math.min(1, slots * warmth / Math.max(1, Math.min(slots, filled)));
+    /** Share of the speed that each job gets with so many slots filled: a cold worker has fewer cores. */
+    double speedShare(double filledSlots) {
+        return warmth >= 1 ? 1 : Math.min(1, slots * warmth / Math.max(1, Math.min(slots, filledSlots)));
     }
 
-    double pace(double filled) {
-        return speed * share(filled);
+    /** Speed of each job with so many slots filled. */
+    double speedAt(double filledSlots) {
+        return speed * speedShare(filledSlots);
     }
 
-    /** The share of its capacity that it surely has: it grows no slower than evenly. */
-    double warmth(long now, Settings set) {
-        double share = startedAt > 0 ? Math.max(0, (now - startedAt) / (double) set.warmUpMicros) : 1;
-        return share >= 1 ? 1 : set.startCapacity + (1 - set.startCapacity) * share;
+    /** Guaranteed share of its capacity: it grows at least linearly from the start capacity. */
+    double currentWarmth(long now, Settings settings) {
+        double share = startedAt > 0 ? Math.max(0, (now - startedAt) / (double) settings.warmUpMicros) : 1;
+        return share >= 1 ? 1 : settings.startCapacity + (1 - settings.startCapacity) * share;
     }
 
-    /** Guards against pushing a cold worker over: a bound for all dispatchers together in any window. */
-    boolean coldMay(long now, double usualSpeed, double size, Settings set, ColdWorkerBudget.Terms terms) {
-        double whole = set.dispatcherShare
-                * set.overloadMultiple
-                * warmth(now, set)
+    /** Whether the budget that all dispatchers share per window admits the job, so as not to overload it. */
+    boolean coldBudgetAllows(
+            long now, double kindSpeed, double slotWork, Settings settings, ColdWorkerBudget.Terms terms) {
+        double budget = settings.dispatcherShare
+                * settings.overloadMultiple
+                * currentWarmth(now, settings)
                 * slots
-                * usualSpeed
-                * set.overloadWindowMicros;
-        return cold.allows(now, terms, id.hashCode(), whole, size);
+                * kindSpeed
+                * settings.overloadWindowMicros;
+        return coldBudget.allows(now, terms, id.hashCode(), budget, slotWork);
     }
 
-    /** Down: each strike doubles the time aside, jittered so that dispatchers do not return in unison. */
-    void strike(long now, double base, Rng rng) {
-        double time = base * (1 << Math.min(strikes++, 4)) * (0.5 + rng.next());
-        downUntil = Math.max(downUntil, now + (long) time);
+    /** Avoids it, twice as long per strike (capped); jittered so that dispatchers do not return in unison. */
+    void recordStrike(long now, double baseMicros, Rng rng) {
+        double avoidedMicros = baseMicros * (1 << Math.min(strikes++, 4)) * (0.5 + rng.next());
+        downUntil = Math.max(downUntil, now + (long) avoidedMicros);
     }
 }
--- a/src/test/java/barrowshore/module/Bench.java
+++ b/src/test/java/barrowshore/module/DispatcherHarness.java
@@ -15,37 +15,37 @@
 import java.util.TreeMap;
 
 /** A dispatcher on a fake clock with its actions recorded, as an embedder would drive it. */
-final class Bench implements DispatchApi.Actions {
+final class DispatcherHarness implements DispatchApi.Actions {
     /** A timer that is due at a time. */
     record Due(long at, String token) {}
 
-    final Settings set;
+    final Settings settings;
     final Dispatcher dispatcher;
     final List<String> actions = new ArrayList<>();
     final List<Due> timers = new ArrayList<>();
-    final Map<String, List<String>> sends = new TreeMap<>();
-    final List<byte[]> told = new ArrayList<>();
+    final Map<String, List<String>> workersSentTo = new TreeMap<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
     long now = 1_000_000_000L;
 
-    Bench(Settings set) {
-        this.set = set;
-        this.dispatcher = new Dispatcher(set, this);
+    DispatcherHarness(Settings settings) {
+        this.settings = settings;
+        this.dispatcher = new Dispatcher(settings, this);
         dispatcher.start(now);
     }
 
-    static Settings settings(RepeatSafety effect, DedupScope scope) {
-        Settings set = new Settings();
-        set.classes = new JobClass[] {new JobClass(100_000, 0, 2_000_000, 1, 0, effect, scope, 500_000, -1, 0)};
-        set.maxAttempts = 4;
-        set.mayCancel = true;
-        return set;
+    static Settings settings(RepeatSafety safety, DedupScope scope) {
+        Settings settings = new Settings();
+        settings.classes = new JobClass[] {new JobClass(100_000, 0, 2_000_000, 1, 0, safety, scope, 500_000, -1, 0)};
+        settings.maxAttempts = 4;
+        settings.mayCancel = true;
+        return settings;
     }
 
     static Member member(String worker, Health health, int zone, int cell, long startedAt) {
         return new Member(worker, health, 4, cell, 0, zone, startedAt);
     }
 
-    Bench workers(int count) {
+    DispatcherHarness withWorkers(int count) {
         List<Member> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(member("w" + i, Health.READY, i % 2, i / 2, 0));
@@ -57,24 +57,24 @@
     /** Sends a request and returns the worker that it went to last, or null if it went nowhere. */
     String request(String id) {
         dispatcher.request(now, new Request(id, 0, 0, 1, 0, 2_000_000));
-        return last(id);
+        return lastWorker(id);
     }
 
-    String last(String id) {
-        List<String> to = sends.get(id);
+    String lastWorker(String id) {
+        List<String> to = workersSentTo.get(id);
         return to == null ? null : to.get(to.size() - 1);
     }
 
-    int attempts(String id) {
-        return sends.getOrDefault(id, List.of()).size();
+    int attemptCount(String id) {
+        return workersSentTo.getOrDefault(id, List.of()).size();
     }
 
     void outcome(String id, Status status) {
-        dispatcher.outcome(now, id, attempts(id) - 1, status == Status.OK, status, 10_000, null);
+        dispatcher.outcome(now, id, attemptCount(id) - 1, status == Status.OK, status, 10_000, null);
     }
 
     /** Runs the timers that fall due up to a time. */
-    void until(long time) {
+    void advanceTo(long time) {
         while (true) {
             Due next = null;
             for (Due due : timers) {
@@ -92,14 +92,14 @@
         }
     }
 
-    long count(String action) {
+    long countActions(String action) {
         return actions.stream().filter(a -> a.startsWith(action)).count();
     }
 
     @Override
     public void send(String id, String worker, long timeout) {
         actions.add("send " + id + " " + worker);
-        sends.computeIfAbsent(id, k -> new ArrayList<>()).add(worker);
+        workersSentTo.computeIfAbsent(id, k -> new ArrayList<>()).add(worker);
     }
 
     @Override
@@ -124,7 +124,7 @@
 
     @Override
     public void sendToPeers(byte[] message) {
-        told.add(message);
+        peerMessages.add(message);
     }
 
     @Override
--- a/src/test/java/barrowshore/module/EmbeddingTest.java
+++ b/src/test/java/barrowshore/module/EmbeddingTest.java
@@ -21,7 +21,7 @@
 /** The README's embedding, as another program would do it. */
 class EmbeddingTest {
     /** Carries out a dispatcher's actions; a real one would use the network and a timer wheel. */
-    private static final class Printing implements DispatchApi.Actions {
+    private static final class RecordingActions implements DispatchApi.Actions {
         final List<String> done = new ArrayList<>();
 
         @Override
@@ -74,7 +74,7 @@
         settings.classes =
                 new JobClass[] {new JobClass(200_000, 0, 5_000_000, 1, 0.5, RepeatSafety.SAFE, DedupScope.ALL, 0, -1, 0)
                 };
-        Printing actions = new Printing();
+        RecordingActions actions = new RecordingActions();
         DispatchApi dispatcher = new Dispatcher(settings, actions);
         dispatcher.start(0);
         dispatcher.list(0, ListKind.WHOLE, List.of(new Member("box-1", Health.READY, 1, 0, 0, 0, 0)));
@@ -91,12 +91,12 @@
     @Test
     void wrongSettingsAndCallsNameTheField() {
         Settings settings = new Settings();
-        assertNames("classes", () -> new Dispatcher(settings, new Printing()));
-        settings.classes = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL).classes;
+        assertNames("classes", () -> new Dispatcher(settings, new RecordingActions()));
+        settings.classes = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL).classes;
         settings.warmUpMicros = 0;
-        assertNames("cold", () -> new Dispatcher(settings, new Printing()));
+        assertNames("cold", () -> new Dispatcher(settings, new RecordingActions()));
         settings.warmUpMicros = 1;
-        DispatchApi dispatcher = new Dispatcher(settings, new Printing());
+        DispatchApi dispatcher = new Dispatcher(settings, new RecordingActions());
         assertNames("jobClass", () -> dispatcher.request(0, new Request("r", 3, 0, 1, 0, 1)));
         assertNames("slots", () -> dispatcher.request(0, new Request("r", 0, 0, 0, 0, 1)));
         assertNames(
--- a/src/test/java/barrowshore/module/IndexTableTest.java
+++ b/src/test/java/barrowshore/module/IndexTableTest.java
@@ -33,13 +33,13 @@
     @ParameterizedTest
     @CsvSource({"1,6,0.5,3", "1,6,0.9,8", "2,5,0.8,6", "4,10,0.8,9", "3,3,0.9,12", "4,2,0.5,5", "2,12,0.9,15"})
     void thresholdIsOptimal(int s, int bound, double load, double r) {
-        int theta = IndexTable.threshold(s, bound, load, ALPHA, r);
+        int theta = IndexTable.optimalThreshold(s, bound, load, ALPHA, r);
         double[] best = valueIteration(s, bound, load, r);
-        double[] cost = IndexTable.solve(s, bound, load, ALPHA, r, theta);
+        double[] cost = IndexTable.discountedPolicyCosts(s, bound, load, ALPHA, r, theta);
         for (int x = 0; x <= bound; x++) {
             assertEquals(best[x], cost[x], 1e-6, "state " + x);
             for (int t = 0; t <= bound; t++) {
-                double other = IndexTable.solve(s, bound, load, ALPHA, r, t)[x];
+                double other = IndexTable.discountedPolicyCosts(s, bound, load, ALPHA, r, t)[x];
                 assertTrue(cost[x] <= other + 1e-9, "threshold " + t + " is better at " + x);
             }
         }
@@ -51,18 +51,18 @@
         int last = 0;
         double top = 1 / (1 - ALPHA);
         for (double r = 0; r < top; r += top / 60) {
-            int theta = IndexTable.threshold(s, bound, load, ALPHA, r);
+            int theta = IndexTable.optimalThreshold(s, bound, load, ALPHA, r);
             assertTrue(theta >= last, "falls at R " + r);
             last = theta;
         }
-        assertEquals(bound, IndexTable.threshold(s, bound, load, ALPHA, top));
-        assertEquals(bound, IndexTable.threshold(s, bound, load, ALPHA, 2 * top));
+        assertEquals(bound, IndexTable.optimalThreshold(s, bound, load, ALPHA, top));
+        assertEquals(bound, IndexTable.optimalThreshold(s, bound, load, ALPHA, 2 * top));
     }
 
     @ParameterizedTest
     @CsvSource({"1,1,0.5", "1,12,0.9", "4,24,0.5", "4,24,0.9", "5,3,0.9", "8,8,0.5", "12,72,0.9"})
     void indexIsFlatWhileASlotIsFreeAndNeverFalls(int s, int bound, double load) {
-        double[] index = IndexTable.compute(s, bound, load);
+        double[] index = IndexTable.computeIndex(s, bound, load);
         for (int x = 1; x < bound; x++) {
             if (x < s) {
                 assertEquals(index[0], index[x], 0);
@@ -71,20 +71,22 @@
             }
         }
         // At indifference nobody else is let in, so an idle worker's index is the discounted service time alone.
-        double steps = s * (1 + load), alpha = 1 - 1 / (IndexTable.HORIZON * steps);
+        double steps = s * (1 + load), alpha = 1 - 1 / (IndexTable.HORIZON_SERVICE_TIMES * steps);
         double alone = 1 / (1 - alpha + alpha / steps) / steps;
-        assertEquals(alone, index[0], IndexTable.EPSILON * IndexTable.HORIZON);
+        assertEquals(alone, index[0], IndexTable.SEARCH_PRECISION_SHARE * IndexTable.HORIZON_SERVICE_TIMES);
     }
 
     @ParameterizedTest
     @CsvSource({"2,8,0.9", "4,12,0.5"})
     void indexIsWhereTheThresholdJumps(int s, int bound, double load) {
-        double steps = s * (1 + load), alpha = 1 - 1 / (IndexTable.HORIZON * steps);
-        double slack = 2 * IndexTable.EPSILON / (1 - alpha);
-        double[] index = IndexTable.compute(s, bound, load);
+        double steps = s * (1 + load), alpha = 1 - 1 / (IndexTable.HORIZON_SERVICE_TIMES * steps);
+        double slack = 2 * IndexTable.SEARCH_PRECISION_SHARE / (1 - alpha);
+        double[] index = IndexTable.computeIndex(s, bound, load);
         for (int x = s - 1; x < bound; x++) {
-            assertTrue(IndexTable.threshold(s, bound, load, alpha, index[x] * steps - slack) <= x, "below at " + x);
-            assertTrue(IndexTable.threshold(s, bound, load, alpha, index[x] * steps + slack) > x, "above at " + x);
+            assertTrue(
+                    IndexTable.optimalThreshold(s, bound, load, alpha, index[x] * steps - slack) <= x, "below at " + x);
+            assertTrue(
+                    IndexTable.optimalThreshold(s, bound, load, alpha, index[x] * steps + slack) > x, "above at " + x);
         }
     }
 
--- a/src/test/java/barrowshore/module/LoadReaderTest.java
+++ b/src/test/java/barrowshore/module/LoadReportReaderTest.java
@@ -11,54 +11,56 @@
 import org.junit.jupiter.api.Test;
 
 /** Load reports of sites that tell different figures. */
-class LoadReaderTest {
+class LoadReportReaderTest {
     private static final Load IDLE = new Load(Double.NaN, 0, 4), BUSY = new Load(Double.NaN, 6, 0);
 
     @Test
     void whereOnlyFreeSlotsAreToldABusyWorkerIsLeftAlone() {
-        Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(2);
+        DispatcherHarness harness =
+                new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(2);
         for (int i = 0; i < 40; i++) {
-            bench.now += 20_000;
-            String w = bench.request("r" + i);
-            bench.dispatcher.outcome(bench.now, "r" + i, 0, true, Status.OK, 10_000, w.equals("w0") ? BUSY : IDLE);
+            harness.now += 20_000;
+            String w = harness.request("r" + i);
+            harness.dispatcher.outcome(harness.now, "r" + i, 0, true, Status.OK, 10_000, w.equals("w0") ? BUSY : IDLE);
         }
-        bench.until(bench.now + 100_000);
+        harness.advanceTo(harness.now + 100_000);
         for (int i = 0; i < 10; i++) {
-            assertThat(bench.request("s" + i)).isEqualTo("w1");
-            bench.dispatcher.outcome(bench.now, "s" + i, 0, true, Status.OK, 10_000, IDLE);
+            assertThat(harness.request("s" + i)).isEqualTo("w1");
+            harness.dispatcher.outcome(harness.now, "s" + i, 0, true, Status.OK, 10_000, IDLE);
         }
     }
 
     @Test
     void slotsAreTheMostThatWasFreeBesideWhatRuns() {
-        Kind kind = new Kind(1);
+        MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         for (int i = 0; i < 200; i++) {
-            LoadReader.enter(i + 1, w, kind, new Load(Double.NaN, i % 3 == 0 ? 0 : 2, i % 3 == 0 ? 5 : 0), 1, 20);
+            LoadReportReader.applyReport(
+                    i + 1, w, kind, new Load(Double.NaN, i % 3 == 0 ? 0 : 2, i % 3 == 0 ? 5 : 0), 1, 20);
         }
         assertThat(kind.slots).isCloseTo(5, within(0.5));
-        assertThat(w.reported).isCloseTo(7, within(0.5));
-        assertThat(w.usual).isBetween(3.0, 6.0);
+        assertThat(w.reportedOtherSlots).isCloseTo(7, within(0.5));
+        assertThat(w.usualOtherSlots).isBetween(3.0, 6.0);
     }
 
     /** A full one shows as many slots as we have jobs running there, mostly none: then its kind was taken to have one. */
     @Test
     void aFullWorkerIsNotTakenForASmallOne() {
-        Kind kind = new Kind(1);
+        MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         w.slots = 4;
-        LoadReader.enter(1, w, kind, new Load(Double.NaN, 7, 0), 1, 20);
+        LoadReportReader.applyReport(1, w, kind, new Load(Double.NaN, 7, 0), 1, 20);
         assertThat(kind.slots).isCloseTo(4, within(0.1));
     }
 
     /** Few reports come where there are many schedulers: room that they show is soon believed. */
     @Test
     void whatIsFreeIsThereForSure() {
-        Kind kind = new Kind(1);
+        MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         w.slots = 4;
         for (int i = 0; i < 4; i++) {
-            LoadReader.enter(1 + i, w, kind, new Load(Double.NaN, 0, 6), 1, 20);
+            LoadReportReader.applyReport(1 + i, w, kind, new Load(Double.NaN, 0, 6), 1, 20);
         }
         assertThat(kind.slots).isCloseTo(6, within(0.2));
     }
@@ -66,26 +68,26 @@
     /** Both schedulers read the same report: whoever has more there by now must not think that there are fewer others. */
     @Test
     void whatWasSentSinceTheReportIsNotTakenForRoomOfOthers() {
-        Kind kind = new Kind(1);
+        MachineKind kind = new MachineKind(1);
         kind.slots = 6;
         Worker w = new Worker("w");
-        w.own = 4;
-        LoadReader.enter(1, w, kind, new Load(Double.NaN, 0, 2), 1, 20);
-        assertThat(w.reported).isCloseTo(4, within(0.1));
+        w.ownSlots = 4;
+        LoadReportReader.applyReport(1, w, kind, new Load(Double.NaN, 0, 2), 1, 20);
+        assertThat(w.reportedOtherSlots).isCloseTo(4, within(0.1));
     }
 
     @Test
     void whatIsCountedInJobsTakesAsManySlotsAsJobsDo() {
         Worker w = new Worker("w");
-        LoadReader.enter(1, w, new Kind(1), new Load(3, 0, 2), 2, 20);
-        assertThat(w.reported).isEqualTo(6);
+        LoadReportReader.applyReport(1, w, new MachineKind(1), new Load(3, 0, 2), 2, 20);
+        assertThat(w.reportedOtherSlots).isEqualTo(6);
     }
 
     @Test
     void aReportWithoutAnyFigureOfUseChangesNothing() {
-        Kind kind = new Kind(1);
+        MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
-        LoadReader.enter(1, w, kind, new Load(Double.NaN, 3, Double.NaN), 1, 20);
+        LoadReportReader.applyReport(1, w, kind, new Load(Double.NaN, 3, Double.NaN), 1, 20);
         assertThat(w.reportedAt).isZero();
         assertThat(kind.slots).isZero();
     }
@@ -93,13 +95,13 @@
     /** Where free slots are not told, what runs beside a queue is the least that there is, and a wide job may leave room. */
     @Test
     void whatRunsBesideAQueueIsTheLeastThatThereIs() {
-        Kind kind = new Kind(1);
+        MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         w.slots = 4;
-        LoadReader.enter(1, w, kind, new Load(3, 2, Double.NaN), 1, 20);
+        LoadReportReader.applyReport(1, w, kind, new Load(3, 2, Double.NaN), 1, 20);
         assertThat(kind.slots).as("one wide job runs, two wait").isCloseTo(4, within(0.1));
         for (int i = 0; i < 200; i++) {
-            LoadReader.enter(2 + i, w, kind, new Load(9, i % 2 == 0 ? 3 : 8, Double.NaN), 1, 20);
+            LoadReportReader.applyReport(2 + i, w, kind, new Load(9, i % 2 == 0 ? 3 : 8, Double.NaN), 1, 20);
         }
         assertThat(kind.slots).isCloseTo(6, within(0.5));
     }
@@ -108,16 +110,16 @@
     @Test
     void aLiveRatingsSizeIsTheMostThatItWas() {
         for (boolean live : new boolean[] {true, false}) {
-            DispatchApi.Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
-            Roster roster = new Roster(new HallSide(set, null, new Rng(1), new Traffic(set)));
+            DispatchApi.Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
+            WorkerList roster = new WorkerList(new HallAdapter(settings, null, new Rng(1), new TrafficStats(settings)));
             for (double rating : new double[] {6, 2}) {
-                roster.enter(
+                roster.update(
                         DispatchApi.ListKind.CHANGES,
                         List.of(new DispatchApi.Member("w", DispatchApi.Health.READY, rating, 0, 0, 0, 0)),
                         1,
                         live);
             }
-            assertThat(roster.worker("w").rating).isEqualTo(live ? 6 : 2);
+            assertThat(roster.find("w").rating).isEqualTo(live ? 6 : 2);
         }
     }
 }
--- a/src/test/java/barrowshore/module/FleetLoadTest.java
+++ b/src/test/java/barrowshore/module/OthersLoadEstimateTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How much others have in flight, where they cannot say so. */
-class FleetLoadTest {
+class OthersLoadEstimateTest {
     private static Worker[] workers(int count, int reported, double usual, long at) {
         Worker[] workers = new Worker[count];
         for (int k = 0; k < count; k++) {
@@ -21,30 +21,30 @@
             workers[k].slots = 5;
             if (k < reported) {
                 workers[k].reportedAt = at;
-                workers[k].usual = usual;
+                workers[k].usualOtherSlots = usual;
             }
         }
         return workers;
     }
 
     private static double others(long now, Worker[] workers, double extrapolated, int dispatchers) {
-        FleetLoad load = new FleetLoad();
+        OthersLoadEstimate load = new OthersLoadEstimate();
         for (Worker w : workers) {
-            load.replace(FleetLoad.Sample.NONE, FleetLoad.Sample.of(now, w, 5));
+            load.replace(OthersLoadEstimate.Sample.NONE, OthersLoadEstimate.Sample.of(now, w, 5));
         }
-        return load.others(extrapolated, dispatchers);
+        return load.estimateOtherSlots(extrapolated, dispatchers);
     }
 
     @Test
     void whatIsTakenBackCountsNoMore() {
-        FleetLoad load = new FleetLoad();
+        OthersLoadEstimate load = new OthersLoadEstimate();
         Worker[] workers = workers(64, 4, 2, 10);
         for (Worker w : workers) {
-            FleetLoad.Sample sample = FleetLoad.Sample.of(10, w, 5);
-            load.replace(FleetLoad.Sample.NONE, sample);
-            load.replace(sample, FleetLoad.Sample.of(1000, w, 5));
+            OthersLoadEstimate.Sample sample = OthersLoadEstimate.Sample.of(10, w, 5);
+            load.replace(OthersLoadEstimate.Sample.NONE, sample);
+            load.replace(sample, OthersLoadEstimate.Sample.of(1000, w, 5));
         }
-        assertThat(load.others(470, 95)).isCloseTo(470, within(0.1));
+        assertThat(load.estimateOtherSlots(470, 95)).isCloseTo(470, within(0.1));
     }
 
     @Test
@@ -75,23 +75,23 @@
      */
     @Test
     void aBusyDispatcherAmongManyIdleOnesDoesNotTurnJobsDown() {
-        Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
-        set.dispatchers = 95;
-        set.reportSource = ReportSource.ANSWERS;
-        set.classes = new JobClass[] {
+        Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
+        settings.dispatchers = 95;
+        settings.reportSource = ReportSource.ANSWERS;
+        settings.classes = new JobClass[] {
             new JobClass(300_000, 1.5, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0)
         };
-        Bench bench = new Bench(set).workers(64);
+        DispatcherHarness harness = new DispatcherHarness(settings).withWorkers(64);
         int open = 6;
         for (int k = 0; k < 400; k++) {
-            bench.now += 25_000;
-            bench.until(bench.now);
-            bench.request("r" + k);
-            if (k >= open && bench.attempts("r" + (k - open)) > 0) {
+            harness.now += 25_000;
+            harness.advanceTo(harness.now);
+            harness.request("r" + k);
+            if (k >= open && harness.attemptCount("r" + (k - open)) > 0) {
                 // Thin traffic has few workers' reports; here one in eight has any.
-                boolean reports = bench.last("r" + (k - open)).matches("w[0-7]");
-                bench.dispatcher.outcome(
-                        bench.now,
+                boolean reports = harness.lastWorker("r" + (k - open)).matches("w[0-7]");
+                harness.dispatcher.outcome(
+                        harness.now,
                         "r" + (k - open),
                         0,
                         true,
@@ -100,6 +100,6 @@
                         reports ? new Load(1, 0, 3) : null);
             }
         }
-        assertThat(bench.count("refuse")).isZero();
+        assertThat(harness.countActions("refuse")).isZero();
     }
 }
--- a/src/test/java/barrowshore/module/PlacingTest.java
+++ b/src/test/java/barrowshore/module/PlacementTest.java
@@ -8,20 +8,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Where jobs go when what is cheapest is not what is best. */
-class PlacingTest {
+class PlacementTest {
     /** With a price on crossing, a crowded worker at home once hid an idle one abroad, and jobs were turned down. */
     @Test
     void aJobCrossesOnceNobodyAtHomeIsWorthWaitingFor() {
-        Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
-        set.crossZoneCharge = 1;
-        Bench bench = new Bench(set).workers(2);
+        Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
+        settings.crossZoneCharge = 1;
+        DispatcherHarness harness = new DispatcherHarness(settings).withWorkers(2);
         int sent = 0;
-        while (bench.request("r" + sent) != null) {
+        while (harness.request("r" + sent) != null) {
             sent++;
         }
-        assertThat(bench.sends.values().stream().filter(to -> to.contains("w1")).count())
+        assertThat(harness.workersSentTo.values().stream()
+                        .filter(to -> to.contains("w1"))
+                        .count())
                 .as("jobs abroad before the first is turned down")
                 .isGreaterThanOrEqualTo(4);
-        assertThat(bench.last("r0")).isEqualTo("w0");
+        assertThat(harness.lastWorker("r0")).isEqualTo("w0");
     }
 }
--- a/src/test/java/barrowshore/module/RulesTest.java
+++ b/src/test/java/barrowshore/module/RulesTest.java
@@ -23,62 +23,68 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The four binding rules, each from its own text, by event sequences without the bench. */
+/** The four binding rules, each from its own text, by event sequences without the harness. */
 class RulesTest {
     @Nested
     class NoRequestIsLost {
         @Test
         void withoutWorkersItIsRefusedAtOnce() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL));
-            assertNull(bench.request("r"));
-            assertEquals(1, bench.count("refuse r"));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.UNSAFE, DedupScope.ALL));
+            assertNull(harness.request("r"));
+            assertEquals(1, harness.countActions("refuse r"));
         }
 
         @ParameterizedTest
         @EnumSource(RepeatSafety.class)
         void aTimeOutAtTheDeadlineIsAnsweredOnceInTheSameCall(RepeatSafety effect) {
-            Bench bench = new Bench(Bench.settings(effect, DedupScope.ALL)).workers(4);
-            bench.request("r");
-            bench.until(bench.now + 2_000_000);
-            bench.outcome("r", Status.TIMEOUT);
-            assertEquals(1, bench.count("refuse r") + bench.count("fail r"));
-            assertEquals(1, bench.count("send r"));
-            bench.dispatcher.clientGone(bench.now, "r");
-            bench.until(bench.now + 2_000_000);
-            assertEquals(1, bench.count("refuse r") + bench.count("fail r"));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(effect, DedupScope.ALL)).withWorkers(4);
+            harness.request("r");
+            harness.advanceTo(harness.now + 2_000_000);
+            harness.outcome("r", Status.TIMEOUT);
+            assertEquals(1, harness.countActions("refuse r") + harness.countActions("fail r"));
+            assertEquals(1, harness.countActions("send r"));
+            harness.dispatcher.clientGone(harness.now, "r");
+            harness.advanceTo(harness.now + 2_000_000);
+            assertEquals(1, harness.countActions("refuse r") + harness.countActions("fail r"));
         }
 
         @Test
         void allAttemptsUsedEndsInARefusal() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL)).workers(10);
-            bench.request("r");
+            DispatcherHarness harness = new DispatcherHarness(
+                            DispatcherHarness.settings(RepeatSafety.UNSAFE, DedupScope.ALL))
+                    .withWorkers(10);
+            harness.request("r");
             for (int i = 0; i < 4; i++) {
-                bench.outcome("r", Status.FULL);
+                harness.outcome("r", Status.FULL);
             }
-            assertEquals(4, bench.attempts("r"));
-            assertEquals(1, bench.count("refuse r"));
+            assertEquals(4, harness.attemptCount("r"));
+            assertEquals(1, harness.countActions("refuse r"));
         }
 
         @Test
         void nothingFollowsTheEnd() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(4);
-            bench.request("gone");
-            bench.dispatcher.clientGone(bench.now, "gone");
-            bench.outcome("gone", Status.FULL);
-            assertEquals(1, bench.count("send gone"));
-            assertEquals(0, bench.count("refuse gone") + bench.count("fail gone"));
-            bench.request("served");
-            bench.outcome("served", Status.OK);
-            bench.outcome("served", Status.ERROR);
-            assertEquals(1, bench.count("send served"));
-            assertEquals(0, bench.count("refuse served") + bench.count("fail served"));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(4);
+            harness.request("gone");
+            harness.dispatcher.clientGone(harness.now, "gone");
+            harness.outcome("gone", Status.FULL);
+            assertEquals(1, harness.countActions("send gone"));
+            assertEquals(0, harness.countActions("refuse gone") + harness.countActions("fail gone"));
+            harness.request("served");
+            harness.outcome("served", Status.OK);
+            harness.outcome("served", Status.ERROR);
+            assertEquals(1, harness.countActions("send served"));
+            assertEquals(0, harness.countActions("refuse served") + harness.countActions("fail served"));
         }
 
         @Test
         void aDeadlineShorterThanATickIsStillAnswered() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(2);
-            bench.dispatcher.request(bench.now, new Request("r", 0, 0, 1, 0, 0));
-            assertEquals(1, bench.count("refuse r") + bench.count("send r"));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(2);
+            harness.dispatcher.request(harness.now, new Request("r", 0, 0, 1, 0, 0));
+            assertEquals(1, harness.countActions("refuse r") + harness.countActions("send r"));
         }
     }
 
@@ -87,64 +93,73 @@
         @ParameterizedTest
         @CsvSource({"ERROR", "RESET", "TIMEOUT", "CANCELLED"})
         void anUnsafeJobThatMayHaveRunFailsAndIsNeverSentAgain(Status status) {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL)).workers(8);
-            bench.request("r");
-            bench.outcome("r", status);
-            assertEquals(1, bench.count("send r"));
-            assertEquals(1, bench.count("fail r"));
-            assertEquals(0, bench.count("refuse r"));
+            DispatcherHarness harness = new DispatcherHarness(
+                            DispatcherHarness.settings(RepeatSafety.UNSAFE, DedupScope.ALL))
+                    .withWorkers(8);
+            harness.request("r");
+            harness.outcome("r", status);
+            assertEquals(1, harness.countActions("send r"));
+            assertEquals(1, harness.countActions("fail r"));
+            assertEquals(0, harness.countActions("refuse r"));
         }
 
         @ParameterizedTest
         @CsvSource({"FULL", "CONNECT_FAILED"})
         void anUnsafeJobThatNeverRanIsSentElsewhere(Status status) {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.UNSAFE, DedupScope.ALL)).workers(8);
-            String first = bench.request("r");
-            bench.outcome("r", status);
-            assertEquals(2, bench.count("send r"));
-            assertNotEquals(first, bench.last("r"));
-            bench.outcome("r", Status.ERROR);
-            assertEquals(1, bench.count("fail r"));
+            DispatcherHarness harness = new DispatcherHarness(
+                            DispatcherHarness.settings(RepeatSafety.UNSAFE, DedupScope.ALL))
+                    .withWorkers(8);
+            String first = harness.request("r");
+            harness.outcome("r", status);
+            assertEquals(2, harness.countActions("send r"));
+            assertNotEquals(first, harness.lastWorker("r"));
+            harness.outcome("r", Status.ERROR);
+            assertEquals(1, harness.countActions("fail r"));
         }
 
         @ParameterizedTest
         @CsvSource({"ZONE", "CELL"})
         void aKeyedRepeatStaysInItsGroup(DedupScope scope) {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.KEYED, scope)).workers(8);
-            int first = Integer.parseInt(bench.request("r").substring(1));
-            bench.outcome("r", Status.ERROR);
-            assertEquals(2, bench.attempts("r"));
-            int second = Integer.parseInt(bench.last("r").substring(1));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.KEYED, scope)).withWorkers(8);
+            int first = Integer.parseInt(harness.request("r").substring(1));
+            harness.outcome("r", Status.ERROR);
+            assertEquals(2, harness.attemptCount("r"));
+            int second = Integer.parseInt(harness.lastWorker("r").substring(1));
             assertEquals(
                     scope == DedupScope.ZONE ? first % 2 : first / 2,
                     scope == DedupScope.ZONE ? second % 2 : second / 2);
             for (int i = 0; i < 3; i++) {
-                bench.outcome("r", Status.ERROR);
+                harness.outcome("r", Status.ERROR);
             }
-            assertEquals(0, bench.count("refuse r"), "a group that is not all forbids a refusal");
-            assertEquals(1, bench.count("fail r"));
+            assertEquals(0, harness.countActions("refuse r"), "a group that is not all forbids a refusal");
+            assertEquals(1, harness.countActions("fail r"));
         }
 
         /** A connection may take 0.25 s to come up: what comes after 0.5 s finds the key forgotten. */
         @ParameterizedTest
         @CsvSource({"500000,1", "300000,1", "200000,2"})
         void aKeyedRepeatThatMayComeOutsideItsWindowIsNotSent(long after, int attempts) {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.KEYED, DedupScope.ALL)).workers(8);
-            bench.request("r");
-            bench.until(bench.now + after);
-            bench.outcome("r", Status.ERROR);
-            assertEquals(attempts, bench.attempts("r"));
+            DispatcherHarness harness = new DispatcherHarness(
+                            DispatcherHarness.settings(RepeatSafety.KEYED, DedupScope.ALL))
+                    .withWorkers(8);
+            harness.request("r");
+            harness.advanceTo(harness.now + after);
+            harness.outcome("r", Status.ERROR);
+            assertEquals(attempts, harness.attemptCount("r"));
         }
 
         @Test
         void aSafeJobIsRepeatedOnlyWithinTheRetryBudget() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(200);
+            DispatcherHarness harness = new DispatcherHarness(
+                            DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL))
+                    .withWorkers(200);
             int repeats = 0;
             for (int i = 0; i < 400; i++) {
-                bench.request("r" + i);
-                bench.outcome("r" + i, Status.ERROR);
-                repeats += bench.attempts("r" + i) - 1;
-                bench.until(bench.now + 100_000);
+                harness.request("r" + i);
+                harness.outcome("r" + i, Status.ERROR);
+                repeats += harness.attemptCount("r" + i) - 1;
+                harness.advanceTo(harness.now + 100_000);
             }
             assertTrue(repeats > 0 && repeats <= 10 + 400 / 10 + 1, "repeats " + repeats);
         }
@@ -157,34 +172,38 @@
                 value = Health.class,
                 names = {"DRAINING", "GONE"})
         void nothingGoesToAWorkerThatDrainsOrIsGone(Health health) {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(3);
-            bench.dispatcher.list(bench.now, ListKind.CHANGES, List.of(Bench.member("w1", health, 1, 0, 0)));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(3);
+            harness.dispatcher.list(
+                    harness.now, ListKind.CHANGES, List.of(DispatcherHarness.member("w1", health, 1, 0, 0)));
             for (int i = 0; i < 60; i++) {
-                assertNotEquals("w1", bench.request("r" + i));
+                assertNotEquals("w1", harness.request("r" + i));
             }
         }
 
         @Test
         void absenceFromAWholeListCountsAsGone() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(3);
-            bench.dispatcher.list(bench.now, ListKind.WHOLE, List.of(Bench.member("w2", Health.READY, 0, 1, 0)));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(3);
+            harness.dispatcher.list(
+                    harness.now, ListKind.WHOLE, List.of(DispatcherHarness.member("w2", Health.READY, 0, 1, 0)));
             for (int i = 0; i < 4; i++) {
-                assertEquals("w2", bench.request("r" + i));
+                assertEquals("w2", harness.request("r" + i));
             }
         }
 
         @Test
         void aFailedListCallKeepsTheListAndAsksAgainWithinTheTimeAllowed() {
-            Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
-            set.pollsList = true;
-            Bench bench = new Bench(set).workers(2);
-            assertEquals(1, bench.count("watch"));
+            Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
+            settings.pollsList = true;
+            DispatcherHarness harness = new DispatcherHarness(settings).withWorkers(2);
+            assertEquals(1, harness.countActions("watch"));
             for (int failures = 1; failures < 12; failures++) {
-                bench.dispatcher.list(bench.now, ListKind.FAILED, List.of());
-                bench.until(bench.now + set.listPollMicros);
-                assertEquals(1 + failures, bench.count("watch"));
+                harness.dispatcher.list(harness.now, ListKind.FAILED, List.of());
+                harness.advanceTo(harness.now + settings.listPollMicros);
+                assertEquals(1 + failures, harness.countActions("watch"));
             }
-            assertFalse(bench.request("r") == null);
+            assertFalse(harness.request("r") == null);
         }
     }
 
@@ -199,7 +218,7 @@
                     from++;
                 }
                 // What it can do at that moment, as the rule has it.
-                double share = 0.1 + 0.9 * (sent.get(i) - START) / COLD;
+                double share = 0.1 + 0.9 * (sent.get(i) - WORKER_START_MICROS) / WARM_UP_MICROS;
                 double limit = 3 * share * slots * 1e6 / work;
                 assertTrue(i - from + 1 <= limit + 1, i - from + 1 + " sent, limit " + limit);
             }
@@ -210,32 +229,36 @@
         @Test
         void aBudgetOfAFewJobsIsUsedFromTheStart() {
             List<Long> sent = coldSends(14, 5, 500_000, 0);
-            long early = sent.stream().filter(at -> at < START + COLD / 4).count();
+            long early = sent.stream()
+                    .filter(at -> at < WORKER_START_MICROS + WARM_UP_MICROS / 4)
+                    .count();
             assertTrue(early >= 4, early + " sent in the first quarter of the warm-up");
             assertEquals(sent, coldSends(14, 5, 500_000, 3_000_000), "settings taken over later give the same turns");
         }
 
-        private static final long START = 1_000_000_000L, COLD = 20_000_000L;
+        private static final long WORKER_START_MICROS = 1_000_000_000L, WARM_UP_MICROS = 20_000_000L;
 
         /** A tenth of forty cores is four whole ones: a job runs there as it would anywhere. */
         @Test
         void aColdWorkerHasFewerCoresAndNotSlowerOnes() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL));
-            bench.dispatcher.list(
-                    bench.now, ListKind.INITIAL, List.of(new Member("cold", Health.READY, 40, 0, 0, 0, bench.now)));
-            assertEquals("cold", bench.request("r"), String.join("; ", bench.actions));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL));
+            harness.dispatcher.list(
+                    harness.now, ListKind.INITIAL, List.of(new Member("cold", Health.READY, 40, 0, 0, 0, harness.now)));
+            assertEquals("cold", harness.request("r"), String.join("; ", harness.actions));
         }
 
         /** With less than half a core a job would miss its aim: it is turned down, to be tried again, not sent late. */
         @Test
         void aJobThatWouldMissItsAimAtAColdWorkerIsTurnedDown() {
-            Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL));
-            bench.dispatcher.list(
-                    bench.now, ListKind.INITIAL, List.of(new Member("cold", Health.READY, 4, 0, 0, 0, bench.now)));
-            assertNull(bench.request("r"));
-            assertEquals(1, bench.count("refuse r"));
-            bench.until(bench.now + COLD + 1_000_000);
-            assertEquals("cold", bench.request("q"), String.join("; ", bench.actions));
+            DispatcherHarness harness =
+                    new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL));
+            harness.dispatcher.list(
+                    harness.now, ListKind.INITIAL, List.of(new Member("cold", Health.READY, 4, 0, 0, 0, harness.now)));
+            assertNull(harness.request("r"));
+            assertEquals(1, harness.countActions("refuse r"));
+            harness.advanceTo(harness.now + WARM_UP_MICROS + 1_000_000);
+            assertEquals("cold", harness.request("q"), String.join("; ", harness.actions));
         }
 
         /**
@@ -245,27 +268,27 @@
         private List<Long> coldSends(int dispatchers, int slots, long work, long formerWindow) {
             List<Long> sent = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
-                Settings set = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
+                Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
                 // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
-                set.classes[0] =
+                settings.classes[0] =
                         new JobClass(work, 19, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0);
-                set.dispatchers = dispatchers;
-                set.ownIndex = d;
-                set.seed = 77 + d;
-                long fall = set.overloadWindowMicros, ahead = d * 7_919 % 40_000;
-                set.overloadWindowMicros = formerWindow > 0 ? formerWindow : fall;
-                Bench bench = new Bench(set);
-                set.overloadWindowMicros = fall;
-                bench.now += ahead;
-                bench.dispatcher.changeSettings(bench.now, set);
-                Member fresh = new Member("cold", Health.READY, slots, 0, 0, 0, START);
-                bench.dispatcher.list(bench.now, ListKind.INITIAL, List.of(fresh));
+                settings.dispatchers = dispatchers;
+                settings.ownIndex = d;
+                settings.seed = 77 + d;
+                long window = settings.overloadWindowMicros, clockOffset = d * 7_919 % 40_000;
+                settings.overloadWindowMicros = formerWindow > 0 ? formerWindow : window;
+                DispatcherHarness harness = new DispatcherHarness(settings);
+                settings.overloadWindowMicros = window;
+                harness.now += clockOffset;
+                harness.dispatcher.changeSettings(harness.now, settings);
+                Member fresh = new Member("cold", Health.READY, slots, 0, 0, 0, WORKER_START_MICROS);
+                harness.dispatcher.list(harness.now, ListKind.INITIAL, List.of(fresh));
                 // A request every 5 ms at each dispatcher, served in the usual time.
-                for (int i = 0; bench.now < START + COLD; i++) {
-                    bench.until(bench.now + 5_000);
-                    if (bench.request("r" + i) != null) {
-                        sent.add(bench.now - ahead);
-                        bench.dispatcher.outcome(bench.now, "r" + i, 0, true, Status.OK, work, null);
+                for (int i = 0; harness.now < WORKER_START_MICROS + WARM_UP_MICROS; i++) {
+                    harness.advanceTo(harness.now + 5_000);
+                    if (harness.request("r" + i) != null) {
+                        sent.add(harness.now - clockOffset);
+                        harness.dispatcher.outcome(harness.now, "r" + i, 0, true, Status.OK, work, null);
                     }
                 }
             }
@@ -276,43 +299,47 @@
 
     @Test
     void oddButLegalOrdersAreTolerated() {
-        Bench bench = new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)).workers(4);
-        Member again = Bench.member("w0", Health.READY, 0, 0, bench.now);
-        bench.dispatcher.list(bench.now, ListKind.CHANGES, List.of(again, again));
-        bench.dispatcher.timerFired(bench.now, "unwanted");
-        bench.dispatcher.note(bench.now, "unknown", 3, DispatchApi.Note.STARTED, 0);
-        bench.dispatcher.outcome(bench.now, "unknown", 0, false, Status.OK, 1, null);
-        bench.dispatcher.clientGone(bench.now, "unknown");
-        bench.dispatcher.probed(bench.now, "unknown", Status.TIMEOUT, 1, null);
-        assertFalse(bench.request("r") == null);
-        bench.dispatcher.note(bench.now, "r", 9, DispatchApi.Note.PROGRESS, 0.5);
-        bench.dispatcher.list(bench.now, ListKind.WHOLE, List.of());
-        bench.outcome("r", Status.ERROR);
-        assertEquals(1, bench.count("refuse r"));
+        DispatcherHarness harness =
+                new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(4);
+        Member again = DispatcherHarness.member("w0", Health.READY, 0, 0, harness.now);
+        harness.dispatcher.list(harness.now, ListKind.CHANGES, List.of(again, again));
+        harness.dispatcher.timerFired(harness.now, "unwanted");
+        harness.dispatcher.note(harness.now, "unknown", 3, DispatchApi.Note.STARTED, 0);
+        harness.dispatcher.outcome(harness.now, "unknown", 0, false, Status.OK, 1, null);
+        harness.dispatcher.clientGone(harness.now, "unknown");
+        harness.dispatcher.probed(harness.now, "unknown", Status.TIMEOUT, 1, null);
+        assertFalse(harness.request("r") == null);
+        harness.dispatcher.note(harness.now, "r", 9, DispatchApi.Note.PROGRESS, 0.5);
+        harness.dispatcher.list(harness.now, ListKind.WHOLE, List.of());
+        harness.outcome("r", Status.ERROR);
+        assertEquals(1, harness.countActions("refuse r"));
     }
 
     @Test
     void identicalEventsGiveIdenticalActionsAloneOrBesideOthers() {
-        List<String> alone = day(new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)), null);
-        Settings other = Bench.settings(RepeatSafety.SAFE, DedupScope.ALL);
+        List<String> alone =
+                runEvents(new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)), null);
+        Settings other = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
         other.seed = 5;
-        List<String> beside = day(new Bench(Bench.settings(RepeatSafety.SAFE, DedupScope.ALL)), new Bench(other));
+        List<String> beside = runEvents(
+                new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)),
+                new DispatcherHarness(other));
         assertEquals(alone, beside);
     }
 
-    private static List<String> day(Bench bench, Bench other) {
-        bench.workers(12);
+    private static List<String> runEvents(DispatcherHarness harness, DispatcherHarness other) {
+        harness.withWorkers(12);
         for (int i = 0; i < 300; i++) {
-            bench.request("r" + i);
+            harness.request("r" + i);
             if (other != null) {
-                other.workers(3);
+                other.withWorkers(3);
                 other.request("r" + i);
             }
-            bench.until(bench.now + 10_000);
+            harness.advanceTo(harness.now + 10_000);
             if (i >= 20) {
-                bench.dispatcher.outcome(bench.now, "r" + (i - 20), 0, true, Status.OK, 200_000, null);
+                harness.dispatcher.outcome(harness.now, "r" + (i - 20), 0, true, Status.OK, 200_000, null);
             }
         }
-        return bench.actions;
+        return harness.actions;
     }
 }
