--- a/src/main/java/barrowshore/module/Curve.java
+++ b/src/main/java/barrowshore/module/Curve.java
@@ -1,12 +1,12 @@
 package barrowshore.module;
 
-/** Arithmetic on a non-decreasing function given at 0, 1/grid, 2/grid ...; it decides nothing. */
+/** A non-decreasing function, given at 0, 1/n, 2/n ... with n points per unit and interpolated linearly. */
 final class Curve {
     private final double[] values;
     private final int pointsPerUnit;
     private final double endSlope;
 
-    /** Beyond the last point it goes on at its last slope, or at least at the one given. */
+    /** Beyond the last point the function continues at its last slope, or minEndSlope if that is greater. */
     Curve(double[] values, int pointsPerUnit, double minEndSlope) {
         this.values = values;
         this.pointsPerUnit = pointsPerUnit;
@@ -25,7 +25,7 @@
                 : values[index] + (position - index) * (values[index + 1] - values[index]);
     }
 
-    /** The expected value at x plus a Poisson number of mean m. */
+    /** The expected value at x plus a Poisson variable of the given mean. */
     double expectedAt(double x, double mean) {
         if (mean <= 0) {
             return valueAt(x);
@@ -39,7 +39,7 @@
         return sum + Math.max(0, remaining) * valueAt(x + mean);
     }
 
-    /** The greatest known x whose value is at most the given one; 0 if there is none. */
+    /** The greatest x on the grid's range whose value is at most the given one; 0 if there is none. */
     double inverse(double value) {
         int low = 0, high = values.length - 1;
         if (value < values[0] || value >= values[high]) {
--- a/src/main/java/barrowshore/module/DecayWeight.java
+++ b/src/main/java/barrowshore/module/DecayWeight.java
@@ -1,14 +1,14 @@
 package barrowshore.module;
 
 /**
- * How much a fading mean keeps of what it held, from one look to the next: half of it in a stated time. In its first
- * such time it is the plain mean of what was seen, or a process that has just started would take a full fleet for an
- * empty one for as long as it takes to forget.
+ * The weight that a decaying mean gives to its old value at each update: one half per half-life. Until about one
+ * half-life has passed, it yields the plain mean instead, so that a process that has just started does not take a
+ * full fleet for an empty one.
  */
 final class DecayWeight {
     private long firstAt = -1, lastAt;
 
-    /** What to keep at this look; the first one keeps nothing, and neither does one with no time since. */
+    /** The share of the old value to keep at this update; 0 at the first, and while no time has passed since. */
     double nextKeepShare(long now, double halfLife) {
         long previousAt = lastAt;
         lastAt = now;
--- a/src/main/java/barrowshore/module/DispatchApi.java
+++ b/src/main/java/barrowshore/module/DispatchApi.java
@@ -7,20 +7,20 @@
 /**
  * The whole interface of the decision module: settings and calls in, actions out.
  *
- * <p>Contract. One instance is one dispatcher; it is not thread-safe and shares nothing with others. Time is what the
- * caller says: microseconds, never decreasing over calls. Actions are carried out at the time of the call that caused
- * them, in order. The same seed and the same calls give the same actions. A wrong setting or call gets an
- * {@link IllegalArgumentException} that names the field.
+ * <p>One instance is one dispatcher; it is not thread-safe and shares no state with others. The caller supplies the
+ * time, in microseconds that never decrease. Actions are issued during the call that causes them, in order. The same
+ * seed and calls give the same actions. An invalid setting or call throws an {@link IllegalArgumentException} that
+ * names the field.
  */
 public interface DispatchApi {
-    /** What a repeat of a job of a class may do. */
+    /** Whether a job may run again: always, only where its key is deduplicated, or never. */
     enum RepeatSafety {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** For keyed jobs: the workers that drop each other's repeats. */
+    /** For keyed jobs: the workers that deduplicate each other's repeats. */
     enum DedupScope {
         ALL,
         ZONE,
@@ -38,20 +38,20 @@
         CANCELLED,
         NOT_SENT;
 
-        /** Whether this end proves that the job never ran. */
+        /** Whether this status proves that the job never ran. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
         }
     }
 
-    /** What the worker list says of a worker. */
+    /** A worker's state in the worker list. */
     enum Health {
         READY,
         DRAINING,
         GONE
     }
 
-    /** What a list event holds: changes, the whole list, the last list held before a start, or a failed call. */
+    /** What a list event contains: changes, the whole list, the list known before a restart, or a failed call. */
     enum ListKind {
         CHANGES,
         WHOLE,
@@ -66,13 +66,13 @@
         PROBES
     }
 
-    /** What a note on an attempt tells. */
+    /** What a worker's note on an attempt reports. */
     enum Note {
         STARTED,
         PROGRESS
     }
 
-    /** A class of jobs. Times in microseconds; kind -1: any; aim grows by stretch times the job's own work. */
+    /** A class of jobs; kind -1: any. The target time is targetMicros plus targetStretch times the job's work. */
     record JobClass(
             long targetMicros,
             double targetStretch,
@@ -86,17 +86,18 @@
             int priority) {
         public JobClass {
             Settings.require(deadlineMicros > 0, "class deadline must be positive");
-            Settings.require(targetMicros >= 0, "class aim must not be negative");
+            Settings.require(targetMicros >= 0, "class aim (target) must not be negative");
             Settings.require(worth >= 0 && worth < Double.POSITIVE_INFINITY, "class worth must be a number from 0");
-            Settings.require(safety != null && scope != null, "class effect and scope must be set");
+            Settings.require(
+                    safety != null && scope != null, "class repeat safety and deduplication scope must be set");
         }
     }
 
-    /** The settings of one dispatcher, with the defaults for what the site leaves out. Times in microseconds. */
+    /** The settings of one dispatcher, with their defaults. Times in microseconds. */
     final class Settings {
         public long seed = 1;
         public int dispatchers = 1;
-        /** This dispatcher's number among them, from 0. */
+        /** This dispatcher's index among all, from 0. */
         public int ownIndex;
 
         public int zone;
@@ -105,24 +106,24 @@
 
         public long tickMicros = 1_000;
         public JobClass[] classes = new JobClass[0];
-        /** Jobs a second that each tenant may send over all dispatchers; empty: no tenants. */
+        /** Jobs per second that each tenant may send to all dispatchers together; empty: no tenants. */
         public double[] tenantQuota = new double[0];
 
         public double overQuotaWorth = 0.1;
-        /** Whether a job is worth its class's worth for each unit of work rather than as a whole. */
+        /** Whether a class's worth is per unit of work rather than per job. */
         public boolean worthPerWork;
 
         public int maxAttempts = 3;
         public boolean mayHedge;
         public boolean mayCancel;
         public boolean mayProbe;
-        /** Whether dispatchers may send one another short messages. */
+        /** Whether dispatchers may send messages to each other. */
         public boolean mayMessagePeers;
 
         public long maxRetryAfterMicros = 1_000_000;
-        /** Whether a listed rating is a size divided by 1 + jobs held for each core, some time ago. */
+        /** Whether a listed rating is the worker's size divided by 1 + its jobs per core some time ago. */
         public boolean ratingsReflectLoad;
-        /** Whether the list comes only when asked for. */
+        /** Whether the worker list has to be requested. */
         public boolean pollsList;
 
         public long listPollMicros = 10_000_000;
@@ -134,11 +135,11 @@
         public long warmUpMicros = 20_000_000;
         public double overloadMultiple = 3;
         public long overloadWindowMicros = 1_000_000;
-        /** Points of the result for each attempt that crosses zones. */
+        /** Points charged for each attempt that crosses zones. */
         public double crossZoneCharge;
-        /** The part of what is due to one dispatcher that this one may use. */
+        /** See {@link DispatchApi#setDispatcherShare}. */
         public double dispatcherShare = 1;
-        /** The operators' rules on halls, which are the zones; null: halls are not told apart but by that charge. */
+        /** The operators' rules on halls, which are the zones; null: only crossZoneCharge tells zones apart. */
         public HallRules halls;
 
         static void require(boolean holds, String message) {
@@ -156,7 +157,7 @@
             require(m.kind() >= 0 && m.kind() < kinds, "member kind is not in settings");
         }
 
-        /** The same, apart from these. */
+        /** An independent copy. */
         Settings copy() {
             Settings copy = new Settings();
             copy.copyIdentityFrom(this);
@@ -165,8 +166,7 @@
         }
 
         /**
-         * Takes over another's settings, but for what {@link #copyIdentityFrom} does: it may change while jobs are under
-         * way.
+         * Copies the settings that may change while jobs are in flight: all but those of {@link #copyIdentityFrom}.
          */
         public void copyReloadableFrom(Settings next) {
             classes = next.classes;
@@ -192,7 +192,7 @@
             crossZoneCharge = next.crossZoneCharge;
         }
 
-        /** Takes over who it is among whom, and what is built on that: once, at a start. */
+        /** Copies the settings that are fixed from the start: the dispatcher's identity and what depends on it. */
         public void copyIdentityFrom(Settings other) {
             seed = other.seed;
             dispatchers = other.dispatchers;
@@ -204,7 +204,7 @@
             halls = other.halls;
         }
 
-        /** Throws an IllegalArgumentException that names the first setting that cannot work. */
+        /** Throws an IllegalArgumentException that names the first invalid setting. */
         public void validate() {
             require(classes.length > 0, "classes must name at least one class");
             require(dispatchers >= 1, "dispatchers must be at least 1");
@@ -222,16 +222,16 @@
         }
     }
 
-    /** One entry of the worker list; startedAt 0: long ago. */
+    /** One entry of the worker list; startedAt 0: warmed up long ago. */
     record Member(String worker, Health health, double rating, int cell, int kind, int zone, long startedAt) {}
 
-    /** A job to answer. hint: its expected work in microseconds at speed 1, 0 if unknown; left: time to answer. */
+    /** A job to answer. workHintMicros: the client's estimate of its work at speed 1; 0: unknown. */
     record Request(String id, int jobClass, int tenant, double slots, double workHintMicros, long timeLeftMicros) {}
 
-    /** A worker's load report; what it does not tell is NaN. */
+    /** A worker's load report; missing figures are NaN. */
     record Load(double inFlight, double queue, double freeSlots) {}
 
-    // Calls in.
+    // Calls by the owner of the dispatcher.
 
     void start(long now);
 
@@ -239,7 +239,7 @@
 
     void request(long now, Request request);
 
-    /** The end of an attempt; closed: the request has ended with it or before it. load may be null. */
+    /** An attempt has ended; closed: the request has ended too. load may be null. */
     void outcome(long now, String id, int attempt, boolean closed, Status status, long latency, Load load);
 
     void note(long now, String id, int attempt, Note note, double share);
@@ -248,62 +248,62 @@
 
     void probed(long now, String worker, Status status, long latency, Load load);
 
-    /** Another dispatcher has told us something; it may come late, twice, out of order or not at all. */
+    /** A message of another dispatcher; messages may be late, repeated, reordered or lost. */
     void peerMessage(long now, int from, byte[] message);
 
     void timerFired(long now, String token);
 
-    /** The operators' rules on halls have changed; null: there are none any more. What is out runs on. */
+    /** Applies changed rules on halls; null: none. Jobs in flight are left alone. */
     default void changeHallRules(long now, HallRules rules) {}
 
     /**
-     * Other settings from now on; who it is among whom stays. Classes keep their numbers: there may be more of them, and
-     * none is left out that jobs under way have; those keep the class that they came with.
+     * Applies changed settings, except the dispatcher's identity. Classes keep their indices: new ones may be added,
+     * and none removed that jobs in flight belong to; those jobs keep the class that they arrived with.
      */
     default void changeSettings(long now, Settings next) {}
 
-    /** Where each hall stands, by number; empty where halls are off. */
+    /** The state of each hall, by number; empty if halls are off. */
     default List<HallState> hallStates() {
         return List.of();
     }
 
-    /** Slots that our jobs hold in a hall other than our own. */
+    /** Slots that our jobs hold in this hall, if it is not our own. */
     default double spilledSlots(int hall) {
         return 0;
     }
 
     /**
-     * Two processes may act as one dispatcher for a while: the part of what is due to it that this one may use, where
-     * all dispatchers together are bound, as with cold workers.
+     * Sets this process's share, from 0 to 1, of the dispatcher's part of budgets that all dispatchers share, such as
+     * cold workers'. It is below 1 while two processes act as one dispatcher.
      */
     default void setDispatcherShare(double part) {}
 
-    /** How many ready workers it sends nothing to just now, whatever the job. */
+    /** How many ready workers get no job of any kind now. */
     default int countAvoided(long now) {
         return 0;
     }
 
-    /** Actions out. */
+    /** The actions that a dispatcher orders; implemented by its owner. */
     interface Actions {
-        /** Starts the next attempt of a request; timeout 0: until the client gives up. */
+        /** Starts the next attempt of a request; timeout 0: none but the client's deadline. */
         void send(String id, String worker, long timeout);
 
-        /** Final answer: harmless to try again, after a while if retryAfter is above 0. */
+        /** Final answer: retrying is harmless, after retryAfter microseconds if above 0. */
         void refuse(String id, long retryAfter);
 
-        /** Final answer: no promise. */
+        /** Final answer: the job may or may not have run. */
         void fail(String id);
 
         void cancel(String id, int attempt);
 
         void probe(String worker);
 
-        /** Tells every other dispatcher; at most 256 bytes. */
+        /** Sends a message of at most 256 bytes to every other dispatcher. */
         void sendToPeers(byte[] message);
 
         void setTimer(long delay, String token);
 
-        /** Asks for the list's changes from now on. */
+        /** Requests the worker list and its changes from now on. */
         void watchList();
 
         void log(String line);
--- a/src/main/java/barrowshore/module/FleetView.java
+++ b/src/main/java/barrowshore/module/FleetView.java
@@ -9,48 +9,48 @@
 import java.util.PriorityQueue;
 
 /**
- * What one dispatcher believes of the fleet: what each worker holds, can do and makes a job wait, and the sums over all of
- * them. Sums are kept up as workers change, and a worker is looked at when something about it is due: a sign, the end of a
- * job, a list entry. The rest ages slowly, and a few workers in turn are looked at in each refresh, so that the cost of a
- * refresh does not grow with the fleet. It decides nothing: {@link Dispatcher} does, by these figures.
+ * One dispatcher's estimates of each worker's load, speed and waiting time, and of the fleet's; owned by {@link
+ * Dispatcher}, which decides by them. Sums over the fleet are updated per worker, and a refresh visits only the
+ * workers with something due (a sign, the end of a job, a list entry) and a few others in turn, so that its cost does
+ * not grow with the fleet.
  */
 final class FleetView {
-    /** Loads of the table sets (report, 4.4), and the loads at which to change over. */
+    /** Loads that index tables are computed for, and the fleet's loads at which to switch between them. */
     private static final double LOW_TABLE_LOAD = 0.5,
             HIGH_TABLE_LOAD = 0.9,
             SWITCH_UP_LOAD = 0.7,
             SWITCH_DOWN_LOAD = 0.5;
-    /** Slots of a worker: until known; at most. */
+    /** Slots assumed for a worker until known, and at most. */
     private static final int DEFAULT_SLOTS = 4, MAX_SLOTS = 48;
-    /** Table depth in slots: none waits longer than that. */
+    /** Length of an index table; no worker is given more jobs per slot. */
     private static final int TABLE_JOBS_PER_SLOT = 6;
-    /** Due times without a sign until a worker is silent; the largest share of workers that may be. */
+    /** Times the usual interval until a worker counts as silent; the largest share of ready workers that may. */
     private static final double SILENT_AFTER_SIGN_INTERVALS = 1.5, MAX_SILENT_SHARE = 0.4;
-    /** Connect time-outs that a free worker may take to tell a start. */
+    /** How long a free worker may take to report a job's start. */
     private static final double START_CONNECT_TIMEOUTS = 2;
-    /** Mean aims that an error costs: the job is lost or redone. */
+    /** Cost of an error, by which a job is lost or redone. */
     private static final double ERROR_COST_MEAN_TARGETS = 3;
-    /** Half-life of the fleet's load, in mean jobs. */
+    /** Half-life of the load means, in mean job times. */
     private static final double LOAD_HALF_LIFE_JOBS = 8;
-    /** Weight of a fresh report, which came late; and how long, in half-lives of the load, until the level counts again. */
+    /** Weight of a new report, which describes the past; half-life of reports, in half-lives of the load. */
     private static final double FRESH_REPORT_WEIGHT = 0.3, REPORT_HALF_LIFE_LOADS = 8;
-    /** Jobs that a kind's speed weighs against a worker's own: where work is known; where it is a guess. */
+    /** Jobs that the kind's speed counts for beside a worker's own jobs: with work known by hints, and without. */
     private static final double KNOWN_WORK_PRIOR_JOBS = 3, UNKNOWN_WORK_PRIOR_JOBS = 9;
-    /** A fleet of that size is looked at whole in each refresh; of a larger one so many workers in turn. */
+    /** Fleets up to this size are visited whole in each refresh; of larger ones, this many workers in turn. */
     private static final int SMALL_FLEET_WORKERS = 32, VISITS_IN_TURN = 6;
-    /** Looks at a cold worker in the time that it takes to get warm. */
+    /** Visits to a cold worker over its warm-up time. */
     private static final int VISITS_WHILE_COLD = 64;
-    /** Share of the time that an overdue job has run until its worker is looked at again. */
+    /** Time until a worker with an overdue job is visited again, as a share of the job's time so far. */
     private static final double OVERDUE_REVISIT_SHARE = 0.1;
-    /** Rounds of the bisection for a level. */
+    /** Rounds of the bisection in {@link #fillToLevel}. */
     private static final int LEVEL_BISECTION_ROUNDS = 24;
 
-    /** Workers of one kind and table, which the other dispatchers fill alike. */
+    /** Workers of one kind and index table, which the other dispatchers are assumed to fill equally. */
     static final class WorkerGroup {
         final int kind;
         final IndexTable table;
         int workerCount;
-        /** Slots of the others at each. */
+        /** Slots that other dispatchers are estimated to hold at each of them. */
         double otherSlots;
 
         WorkerGroup(int kind, IndexTable table) {
@@ -59,12 +59,12 @@
         }
     }
 
-    /** What the dispatcher has counted itself: traffic, kinds of machines, open jobs, the list. */
+    /** The dispatcher's own records that the estimates are made from. */
     record Sources(TrafficStats traffic, MachineKind[] kinds, OpenJobs openJobs, WorkerList workerList) {}
 
     private record GroupKey(int kind, IndexTable table) {}
 
-    /** A worker to look at again; void if its view names another time. */
+    /** A visit due; ignored if the worker's {@code nextVisitAt} has changed. */
     private record ScheduledVisit(long at, Worker worker) {}
 
     private final Settings settings;
@@ -92,17 +92,17 @@
 
     FleetView(
             Settings settings,
-            Sources records,
+            Sources sources,
             HallAdapter halls,
             PeerSlotExchange peers,
             IndexTableCache tables,
             Rng rng,
             WorkCounters counters) {
         this.settings = settings;
-        this.traffic = records.traffic;
-        this.kinds = records.kinds;
-        this.openJobs = records.openJobs;
-        this.workerList = records.workerList;
+        this.traffic = sources.traffic;
+        this.kinds = sources.kinds;
+        this.openJobs = sources.openJobs;
+        this.workerList = sources.workerList;
         this.halls = halls;
         this.peers = peers;
         this.tables = tables;
@@ -115,12 +115,12 @@
         loadDecay.nextKeepShare(now, 1);
     }
 
-    /** The load of the fleet where it is over its capacity, against that; else 1. */
+    /** The fleet's load over its capacity, at least 1. */
     double overload() {
         return overload;
     }
 
-    /** The list has changed for these workers. */
+    /** Follows list changes of these workers. */
     void updateListed(long now, Collection<Worker> workers) {
         for (Worker worker : workers) {
             removeFromSums(worker);
@@ -132,12 +132,12 @@
         counters.countListUpdate(workers.size());
     }
 
-    /** All workers are looked at in the next refresh, as what is believed of all has changed. */
+    /** Makes the next refresh visit all workers, after a change that concerns them all. */
     void visitAllNext() {
         visitsAllNext = true;
     }
 
-    /** The worker is looked at in the first refresh from then on. */
+    /** Makes the first refresh at or after this time visit the worker. */
     void scheduleVisit(Worker worker, long at) {
         if (at < worker.contribution.nextVisitAt) {
             worker.contribution.nextVisitAt = at;
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Renews, at jittered intervals, what ages: overdue jobs, silence, the fleet's load and its parts. Returns the jobs with
-     * an attempt that gave no sign in time.
+     * Updates the estimates that change with time: overdue jobs, silent workers, the fleet's load. Returns the jobs
+     * with an attempt that gave no sign in time.
      */
     List<Job> refresh(long now) {
         refreshes++;
@@ -177,7 +177,7 @@
         return jobsWithoutSign;
     }
 
-    /** The ready workers to look at now: those with something due, and some in turn. */
+    /** The ready workers to visit now: those with a visit due, and some in turn. */
     private List<Worker> takeDueWorkers(long now) {
         List<Worker> due = new ArrayList<>();
         while (!scheduledVisits.isEmpty() && scheduledVisits.peek().at <= now) {
@@ -205,7 +205,7 @@
         }
     }
 
-    /** Renews what is believed of one worker, and its part in the sums. */
+    /** Updates the estimates for one worker, and its part in the sums. */
     private void visit(long now, Worker worker, List<Job> jobsWithoutSign) {
         visits++;
         MachineKind kind = kinds[worker.kind];
@@ -223,7 +223,7 @@
         addToSums(now, worker);
     }
 
-    /** Sees how overdue the worker's jobs are, and whether a sign is; enters the jobs whose attempt gave none. */
+    /** Whether a sign of the worker is overdue; sets how overdue its jobs are and collects those without a sign. */
     private boolean checkSigns(long now, Worker worker, List<Job> jobsWithoutSign) {
         boolean isSignDue = false;
         worker.overdueMicros = 0;
@@ -239,7 +239,7 @@
         return isSignDue;
     }
 
-    /** Guards against machines that fall silent: their count would stand or drain and look cheap. */
+    /** Marks a worker as silent: otherwise its falling job count would make a dead one look cheap. */
     private void updateSilence(long now, Worker worker, boolean isSignDue) {
         boolean wasSilent = worker.silent;
         int otherSilentWorkers = silentWorkers - (worker.contribution.silent ? 1 : 0);
@@ -252,7 +252,7 @@
         }
     }
 
-    /** Puts the worker's part into the sums in the place of what was there before. */
+    /** Replaces the worker's part in the sums. */
     private void addToSums(long now, Worker worker) {
         WorkerContribution contribution = worker.contribution;
         removeFromSums(worker);
@@ -271,7 +271,7 @@
         boolean isAvoided = worker.silent
                 || now < worker.downUntil
                 || !halls.isHallInUse(worker)
-                || worker.warmth < 1; // cold: in turns
+                || worker.warmth < 1; // dispatchers take turns at cold workers
         if (!isAvoided) {
             contribution.group = groups.computeIfAbsent(
                     new GroupKey(worker.kind, worker.table), s -> new WorkerGroup(s.kind(), s.table()));
@@ -297,7 +297,7 @@
         contribution.group = null;
     }
 
-    /** Sets the fleet's load against its capacity. */
+    /** Updates the overload, the choice of index tables and the scale of speeds. */
     private void updateFleetLoad() {
         otherSlots = reportedLoad.estimateOtherSlots(extrapolatedOtherSlots, settings.dispatchers);
         double slotsInUse = fleetSlots - silentPeerShare * (extrapolatedOtherSlots - otherSlots);
@@ -309,7 +309,7 @@
         for (int k = 0; k < kinds.length; k++) {
             meanSpeed += countedWorkers == 0 ? 0 : kinds[k].speed * workersOfKind[k] / countedWorkers;
         }
-        // Without hints only the product of work and speed is seen: hold the mean speed at 1.
+        // Without hints only the product of work and speed is known, so the mean speed is fixed at 1.
         double scale = traffic.mostlyHinted || meanSpeed <= 0 ? 1 : 1 / meanSpeed;
         traffic.rescaleWork(scale);
         for (MachineKind k : kinds) {
@@ -318,7 +318,7 @@
     }
 
     private IndexTable tableFor(Worker worker) {
-        // Until reports tell, the rating is taken as the number of slots: the proportions matter most.
+        // Until reports show the slots, the rating is used: the ratios between workers matter most.
         double known = kinds[worker.kind].slots > 0
                 ? kinds[worker.kind].slots
                 : worker.rating > 1 ? worker.rating : DEFAULT_SLOTS;
@@ -327,7 +327,7 @@
         return tables.get(slots, slots * TABLE_JOBS_PER_SLOT, isHighLoad ? HIGH_TABLE_LOAD : LOW_TABLE_LOAD);
     }
 
-    /** What one more mean job waits there and makes others wait: the index above an idle worker's. */
+    /** Waiting time that one more mean job has and causes there: its index less an idle worker's. */
     double waitCost(Worker worker, double moreSlots) {
         double aboveIdle = worker.table.expected(
                         worker.takenSlots() - worker.estimatedOtherSlots + moreSlots, worker.estimatedOtherSlots)
@@ -335,16 +335,16 @@
         return aboveIdle * traffic.meanWork / worker.speedAt(1);
     }
 
-    /** How long a job of so many slots is expected to wait there for its start. */
+    /** Expected wait there until a job of so many slots starts. */
     double expectedQueueing(Worker worker, double slots) {
         double slotsOver = Math.max(0, worker.takenSlots() + slots - worker.slots);
         return slotsOver / (worker.slots * worker.warmth) * traffic.meanWork / worker.speed;
     }
 
-    /** Renews what a job waits at the worker, and what errors there cost. */
+    /** Updates the worker's cost of waiting and of errors. */
     void updateCosts(long now, Worker worker) {
         if (worker.table == null) {
-            return; // not looked at yet
+            return; // not visited yet
         }
         if (worker.contribution.isCounted) {
             peerSlots += worker.peerSlots - worker.contribution.peerSlots;
@@ -359,7 +359,7 @@
                 / (kinds[attempt.worker.kind].speed * attempt.worker.speedShare(attempt.worker.takenSlots()));
     }
 
-    /** How long an attempt may go without a sign, where notes come at a start and then at intervals. */
+    /** How long an attempt may go without a sign; shorter where start and progress notes are sent. */
     private double signTimeout(Job.Attempt attempt) {
         if (!settings.notesStart || settings.progressMicros == 0) {
             return 4 * (attempt.expectedWait + expectedRunTime(attempt) + settings.progressMicros);
@@ -372,7 +372,7 @@
                                 + (attempt.expectedWait > 0 ? settings.progressMicros : 0));
     }
 
-    /** When the worker has to be looked at again: something of its jobs is due then, or grows with time. */
+    /** When to visit the worker again: the next time that something about it or its jobs is due. */
     private long nextVisitAt(long now, Worker worker) {
         if (worker.silent) {
             return now;
@@ -381,8 +381,8 @@
         if (worker.downUntil > now) {
             next = Math.min(next, worker.downUntil);
         }
-        for (OpenJobs.AbandonedSlots left : worker.abandoned) {
-            next = Math.min(next, left.until());
+        for (OpenJobs.AbandonedSlots abandoned : worker.abandoned) {
+            next = Math.min(next, abandoned.until());
         }
         for (int i = 0; i < worker.openAttempts.size(); i++) {
             Job.Attempt attempt = worker.openAttempts.get(i);
@@ -398,13 +398,13 @@
     }
 
     /**
-     * Spreads the others' load (own slots in flight times the other dispatchers) over the fleet as they do,
-     * by the same tables: the level at which all indices are equal. Guards against herding: own counts near
-     * zero look alike.
+     * Estimates the slots that silent dispatchers hold at each group, assuming that they route by the same tables
+     * until all indices are equal. Without it dispatchers herd, as workers look alike to one with few jobs of its
+     * own.
      */
     private void spreadOtherSlots() {
-        for (WorkerGroup shape : groups.values()) {
-            shape.otherSlots = 0;
+        for (WorkerGroup group : groups.values()) {
+            group.otherSlots = 0;
         }
         for (int k = 0; k < kinds.length; k++) {
             fillToLevel(k, silentPeerShare * openJobs.ownSlotsBoundToKind[k] * (settings.dispatchers - 1));
@@ -412,7 +412,9 @@
         fillToLevel(-1, silentPeerShare * otherSlots);
     }
 
-    /** Adds so many slots of the others to the workers of a kind (-1: any), lowest index first. */
+    /**
+     * Distributes the others' slots over workers of a kind (-1: any), lowest index first, by bisection of the level.
+     */
     private void fillToLevel(int kind, double slots) {
         if (slots <= 0) {
             return;
@@ -420,31 +422,31 @@
         double low = 0, high = 20 * (traffic.meanTarget + traffic.meanWork);
         for (int i = 0; i < LEVEL_BISECTION_ROUNDS; i++) {
             double middle = (low + high) / 2, sum = 0;
-            for (WorkerGroup shape : groups.values()) {
+            for (WorkerGroup group : groups.values()) {
                 visits++;
-                sum += kind < 0 || shape.kind == kind
-                        ? shape.workerCount * Math.max(0, slotsAtLevel(shape, middle) - shape.otherSlots)
+                sum += kind < 0 || group.kind == kind
+                        ? group.workerCount * Math.max(0, slotsAtLevel(group, middle) - group.otherSlots)
                         : 0;
             }
             low = sum > slots ? low : middle;
             high = sum > slots ? middle : high;
         }
-        for (WorkerGroup shape : groups.values()) {
-            if (kind < 0 || shape.kind == kind) {
-                shape.otherSlots = Math.max(shape.otherSlots, slotsAtLevel(shape, low));
+        for (WorkerGroup group : groups.values()) {
+            if (kind < 0 || group.kind == kind) {
+                group.otherSlots = Math.max(group.otherSlots, slotsAtLevel(group, low));
             }
         }
     }
 
-    /** The others' view of a worker is the usual one: our own evidence of its speed is not theirs. */
-    private double slotsAtLevel(WorkerGroup shape, double level) {
-        double rate = kinds[shape.kind].speed / traffic.meanWork;
-        return shape.table.inverse(level * rate + (1 - traffic.meanInverseStretch) * shape.table.idleIndex());
+    /** Slots at which a worker's index reaches the level, at its kind's speed: others have not seen our jobs there. */
+    private double slotsAtLevel(WorkerGroup group, double level) {
+        double rate = kinds[group.kind].speed / traffic.meanWork;
+        return group.table.inverse(level * rate + (1 - traffic.meanInverseStretch) * group.table.idleIndex());
     }
 
     /**
-     * Slots that silent dispatchers are expected to hold there. They need not spread as we would: what they usually hold
-     * there counts above the level, and the last report counts a little, for about the time that a job takes.
+     * Slots that silent dispatchers are expected to hold there. They may not route as assumed, so the reported usual
+     * slots outweigh the level, and the last report adds a little for about the length of a job.
      */
     private double estimateOtherSlots(long now, Worker worker) {
         double levelSlots = worker.contribution.group == null ? 0 : worker.contribution.group.otherSlots;
--- a/src/main/java/barrowshore/module/HallAdapter.java
+++ b/src/main/java/barrowshore/module/HallAdapter.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * The module's side of the decisions about halls: puts what happens to attempts and workers into the words of
- * {@link HallPolicy}, and carries out what a turn of the halls wants told, probed and logged. It decides nothing.
+ * Translates between the decision module and {@link HallPolicy}: reports attempts and workers to it, and sends,
+ * probes and logs what it returns. Owned by {@link Dispatcher}.
  */
 final class HallAdapter {
     private static final double[] PRICES_WITHOUT_HALLS = {0, 1};
@@ -33,12 +33,12 @@
         this.traffic = traffic;
     }
 
-    /** What a job pays for the room it takes, against the usual job. */
+    /** The job's worth relative to the mean job, at most 1, reduced if it is over quota. */
     private double relativeWorth(Job job) {
         return Math.min(1, traffic.relativeWorth(job)) * (job.overQuota ? settings.overQuotaWorth : 1);
     }
 
-    /** New rules: halls keep their states where there were rules before. */
+    /** Applies new rules, null: none; the halls keep their states if there were rules before. */
     void changeRules(long now, HallRules rules) {
         if (rules == null) {
             policy = HallPolicy.OFF;
@@ -47,14 +47,14 @@
         }
     }
 
-    /** What the list says of a worker. */
+    /** Reports a worker's list entry. */
     void updateListing(long now, Worker worker) {
         worker.hallServer = policy.serverFor(worker.id);
         worker.hall = policy != HallPolicy.OFF ? policy.hallOfZone(worker.zone) : worker.zone == settings.zone ? 0 : 1;
         policy.updateListing(now, worker.hallServer, worker.zone, worker.listed, worker.draining, worker.startedAt);
     }
 
-    /** What a job pays in each hall, as {@link HallPolicy#priceHalls} has it; without halls: here, and elsewhere. */
+    /** The job's price per hall, see {@link HallPolicy#priceHalls}; without halls: in our zone, and elsewhere. */
     double[] priceHalls(long now, Job job, int tier) {
         return policy == HallPolicy.OFF
                 ? PRICES_WITHOUT_HALLS
@@ -74,7 +74,7 @@
         policy.recordSent(now, attempt.worker.hallServer, attempt.job.slots, attempt.expectedWait / meanTarget);
     }
 
-    /** What the end of an attempt says of its worker; pushed: it may have been put out for a more urgent one. */
+    /** Reports an attempt's end; mayBePreempted: a job of higher priority may have pushed it out. */
     void recordEnd(long now, Job.Attempt attempt, Status status, boolean mayBePreempted) {
         HallServer server = attempt.worker.hallServer;
         policy.recordEnd(now, server, attempt.sentAt, attempt.job.slots, status == Status.OK);
@@ -88,8 +88,8 @@
     }
 
     /**
-     * What the module believes of a worker. Reports that do not tell of a queue make it think of more slots than there
-     * are while jobs wait, and a limit must not grow with the crowd: what the list says bounds it.
+     * Reports a worker's estimated capacity, bounded by its listed rating: load reports without a queue figure make
+     * slots look more numerous while jobs wait, and a hall's limit must not grow with its load.
      */
     void updateCapacity(long now, Worker worker, double speed, boolean silent) {
         double slots = worker.rating > 1 ? Math.min(worker.rating, worker.slots) : worker.slots;
@@ -102,7 +102,7 @@
 
     void recordProbe(long now, Worker worker, Status status) {
         if (status == Status.OK && policy.isHallTroubled(worker.hallServer)) {
-            worker.heardAt = now; // it answers again: one job may find out the rest
+            worker.heardAt = now; // it answers again, so one job may try it
             worker.downUntil = 0;
         }
         if (status != Status.NOT_SENT) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Whether the job may be tried again, as far as its last worker's hall is concerned. */
+    /** Whether the hall of the job's last worker lets it be retried. */
     boolean mayRetry(long now, Job job) {
         return policy.mayRetry(now, job.attempts.get(job.attempts.size() - 1).worker.hallServer, relativeWorth(job));
     }
--- a/src/main/java/barrowshore/module/HintModel.java
+++ b/src/main/java/barrowshore/module/HintModel.java
@@ -1,16 +1,18 @@
 package barrowshore.module;
 
 /**
- * What clients' guesses at the work of a class's jobs have been worth: a fading regression of the work that jobs turned out
- * to be on what was guessed, in logarithms. A guess that bears on the work is taken as it is; one without any bearing
- * gives way to what the class's jobs usually are. It decides nothing.
+ * How far clients' work hints for one class can be trusted: a decaying regression of the jobs' actual work on their
+ * hints, in logarithms. Hints that correlate with the work are taken as they are, others replaced by the regression's
+ * estimate. Owned by {@link TrafficStats}.
  */
 final class HintModel {
-    /** Jobs after which what was seen counts half; how many jobs of what spread speak for guesses at first. */
+    /**
+     * Half-life of the regression; its prior: this many jobs whose log work equals the log hint, with this variance.
+     */
     private static final double HALF_LIFE_JOBS = 100, PRIOR_JOBS = 20, PRIOR_LOG_VARIANCE = 0.1;
-    /** The slope from which a guess is taken as it is: few jobs on uneven machines put it well under 1 for good ones. */
+    /** Slope from which hints are trusted; few jobs on uneven machines put good hints well below 1. */
     private static final double MIN_TRUSTED_SLOPE = 0.5;
-    /** Jobs after which a good guess has proved itself. */
+    /** Jobs after which trusted hints count as proven. */
     private static final double MIN_PROVEN_JOBS = 8;
 
     private double recentJobs,
@@ -18,34 +20,35 @@
             meanLogWork,
             hintWorkProductSum = PRIOR_JOBS * PRIOR_LOG_VARIANCE,
             hintSquareSum = PRIOR_JOBS * PRIOR_LOG_VARIANCE;
-    /** What such jobs really were, against what was made of their guesses: the mean of a spread lies above its middle. */
+    /** Sums of actual and fitted work; their ratio corrects the fit, as a mean exceeds the mean of logarithms. */
     private double actualWork = 1, fittedWork = 1;
 
-    /** How much of a guess shows in the work, from 0 to 1. */
+    /** Regression slope of log work on log hint, from 0 to 1. */
     private double slope() {
         return Math.max(0, Math.min(1, hintWorkProductSum / hintSquareSum));
     }
 
-    /** Whether guesses are taken as they are. */
+    /** Whether hints are taken as they are. */
     boolean isTrusted() {
         return slope() >= MIN_TRUSTED_SLOPE;
     }
 
-    /** Whether that has been seen to hold for some jobs: before, a guess must not be leaned on where a rule is at stake. */
+    /** Whether enough jobs have confirmed it; before, no budget may rely on a hint. */
     boolean isProven() {
         return recentJobs >= MIN_PROVEN_JOBS && isTrusted();
     }
 
-    /** The work to expect, where this was guessed. */
+    /** Expected work of a job with this hint. */
     double expectedWork(double hint) {
         return isTrusted() || recentJobs == 0 ? hint : fitWork(hint) * actualWork / fittedWork;
     }
 
+    /** The regression's work for a hint. */
     private double fitWork(double hint) {
         return Math.exp(meanLogWork + slope() * (Math.log(hint) - meanLogHint));
     }
 
-    /** A job turned out to be so much work. */
+    /** Records the actual work of a job with this hint. */
     void recordRun(double hint, double work) {
         double logHint = Math.log(hint),
                 logWork = Math.log(Math.max(1, work)),
@@ -62,7 +65,7 @@
         hintSquareSum = keep * hintSquareSum + hintDeviation * (logHint - meanLogHint);
     }
 
-    /** All work is measured by another scale from now on. */
+    /** Multiplies all learned work, when the unit of speed changes. */
     void rescaleWork(double scale) {
         meanLogWork += Math.log(scale);
         actualWork *= scale;
--- a/src/main/java/barrowshore/module/Job.java
+++ b/src/main/java/barrowshore/module/Job.java
@@ -4,7 +4,7 @@
 import barrowshore.module.DispatchApi.Request;
 import java.util.ArrayList;
 
-/** The record of one request and its attempts; it decides nothing. */
+/** One request and its attempts; owned by {@link OpenJobs} until answered and all attempts have ended. */
 final class Job {
     /** One attempt; startedAt 0: no start note yet. */
     static final class Attempt {
@@ -15,19 +15,19 @@
         long startedAt;
         long progressAt;
         double progress;
-        /** How long it was expected to wait for its start when it was sent. */
+        /** Wait for its start that was expected when it was sent. */
         double expectedWait;
 
         boolean ended;
         /** Known not to have run. */
         boolean neverRan;
 
-        /** When it last gave a sign; its sending is the first. */
+        /** When it was sent or last gave a sign. */
         long lastSignAt() {
             return Math.max(sentAt, Math.max(startedAt, progressAt));
         }
 
-        /** When it began to run, as far as is known. */
+        /** When it began to run; if unknown, when it was sent. */
         long beganAt() {
             return startedAt > 0 ? startedAt : sentAt;
         }
@@ -51,9 +51,9 @@
     final ArrayList<Attempt> attempts = new ArrayList<>(2);
     int openAttempts;
     boolean answered;
-    /** Whether an attempt that has ended may have run. */
+    /** Whether any ended attempt may have run. */
     boolean mayHaveRun;
-    /** Expected work at speed 1, and what it pays for each unit of work. */
+    /** Expected work at speed 1, and worth per unit of work. */
     double expectedWork;
 
     double worthPerWork;
--- a/src/main/java/barrowshore/module/MachineKind.java
+++ b/src/main/java/barrowshore/module/MachineKind.java
@@ -1,6 +1,6 @@
 package barrowshore.module;
 
-/** The averages kept of one kind of machine; it decides nothing. named: some class runs only there. */
+/** Running means over the workers of one kind of machine; owned by {@link Dispatcher}. */
 final class MachineKind {
     double speed = 1, meanWork, meanRunTime, jobCount, slots, meanWorth = 1;
     boolean requiredBySomeClass;
@@ -10,7 +10,7 @@
         meanRunTime = initialWork;
     }
 
-    /** Averages in a job's work at speed 1 and how long it ran. */
+    /** Adds a job's work at speed 1 and its running time to the means. */
     void recordRun(double weight, double work, double runTime) {
         jobCount++;
         this.meanWork += weight * (work - this.meanWork);
--- a/src/main/java/barrowshore/module/OpenJobs.java
+++ b/src/main/java/barrowshore/module/OpenJobs.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The books of what is open: requests by id, attempts, and our slots in flight. It decides nothing. */
+/** One dispatcher's open requests, their attempts, and the slots that these hold; owned by {@link Dispatcher}. */
 final class OpenJobs {
     private final Map<String, Job> jobs = new HashMap<>();
-    /** Slots of ours in flight, and those of jobs that only one kind of machine can run, by kind. */
+    /** Slots of all our open attempts; and by kind, of those that only this kind of machine can run. */
     double ownSlots;
 
     final double[] ownSlotsBoundToKind;
@@ -20,19 +20,19 @@
         jobs.put(job.id, job);
     }
 
-    /** The request, or null if it is not known or long ended. */
+    /** The request, or null if unknown or ended. */
     Job job(String id) {
         return jobs.get(id);
     }
 
-    /** The attempt if it is still out, else null. */
+    /** The attempt if it has not ended, else null. */
     Job.Attempt openAttempt(String id, int number) {
         Job job = jobs.get(id);
         boolean exists = job != null && number >= 0 && number < job.attempts.size();
         return exists && !job.attempts.get(number).ended ? job.attempts.get(number) : null;
     }
 
-    /** Enters the next attempt of a job. */
+    /** Adds the next attempt of a job. */
     Job.Attempt addAttempt(Job job, Worker worker, long now) {
         Job.Attempt attempt = new Job.Attempt(job, job.attempts.size(), worker, now);
         job.attempts.add(attempt);
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Enters the end of an attempt. One that was given up is likely to run on, or to be run yet, for nobody: its slots
-     * stay taken for as long as it was expected to run.
+     * Ends an attempt. A cancelled or timed-out one may still run although nobody waits for it, so its slots stay in
+     * use until its expected end.
      */
     void endAttempt(Job.Attempt attempt, Status status, long now) {
         Worker worker = attempt.worker;
@@ -60,10 +60,10 @@
         }
     }
 
-    /** Slots that what was given up may still take, and until when. */
+    /** Slots that an abandoned attempt may still hold, and until when. */
     record AbandonedSlots(double slots, long until) {}
 
-    /** What was given up has ended by now. */
+    /** Releases the slots of abandoned attempts that should have ended. */
     void releaseEndedAbandoned(long now, Worker worker) {
         if (worker.abandoned.isEmpty()) {
             return;
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The request has its answer; it is forgotten once no attempt is out. */
+    /** Marks the request as answered; it is removed once no attempt is out. */
     void markAnswered(Job job) {
         job.answered = true;
         if (job.openAttempts == 0) {
--- a/src/main/java/barrowshore/module/PeerSlotExchange.java
+++ b/src/main/java/barrowshore/module/PeerSlotExchange.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 
 /**
- * What the dispatchers tell one another: the slots that each has in flight at each worker. It puts workers into the names
- * of the exchange, and keeps in each {@link Worker#lineReceived} the sum of what the others have told. It decides nothing.
+ * Exchanges with the other dispatchers the slots that each has in flight at each worker, and keeps their sum in
+ * {@link Worker#peerSlots}. Owned by {@link Dispatcher}.
  */
 final class PeerSlotExchange implements PeerSlots.SlotSums {
-    /** Microseconds after which something is told though nothing has changed; and without a word, a peer is silent. */
+    /** Longest time between two of our messages, and time without one after which a peer counts as silent. */
     private static final long HEARTBEAT_MICROS = 500_000, SILENCE_MICROS = 6 * HEARTBEAT_MICROS;
 
     private final SnapshotSender sender;
     private final PeerSlots peerSlots;
     private final WorkerList workerList;
     private final WorkCounters counters;
-    /** Workers whose sum has changed since it was asked for. */
+    /** Workers whose sum has changed since {@link #takeChangedWorkers}. */
     private final Set<Worker> changedWorkers = new LinkedHashSet<>();
 
     PeerSlotExchange(int dispatchers, int ownIndex, WorkerList workerList, WorkCounters counters) {
@@ -32,19 +32,19 @@
         sender.start(now);
     }
 
-    /** Our slots at the worker may have changed; at one that wants nothing new they concern nobody. */
+    /** Publishes our slots at the worker; 0 if it is not ready, as no other dispatcher would choose it. */
     void updateOwnSlots(Worker worker) {
         int slots = worker.listed ? (int) Math.ceil(worker.ownSlots + worker.abandonedSlots) : 0;
         sender.addSlots(worker.exchangeName, slots - worker.contribution.publishedSlots);
         worker.contribution.publishedSlots = slots;
     }
 
-    /** What is to be told to all others now; null if nothing is. jobMicros: how long a job usually runs. */
+    /** The datagram to send to all peers now, or null. jobMicros: a job's mean running time. */
     byte[] nextDatagram(long now, double jobMicros) {
         return sender.nextDatagram(now, workerList.ready.length, jobMicros);
     }
 
-    /** Enters what a peer has told; what cannot be read is dropped. Returns the workers that it is about. */
+    /** Applies a peer's datagram, or drops it if malformed; returns the workers that it changed. */
     List<Worker> receive(long now, int from, byte[] message) {
         long visitsBefore = peerSlots.visits();
         boolean entered = peerSlots.receive(now, from, message);
@@ -53,18 +53,18 @@
         return takeChangedWorkers();
     }
 
-    /** Takes back what silent peers have told; returns the workers that it was about. */
+    /** Removes the slots told by peers that have become silent; returns the workers that this changed. */
     List<Worker> expireSilentPeers(long now) {
         peerSlots.expireSilentPeers(now);
         return takeChangedWorkers();
     }
 
-    /** The share of the other dispatchers that is silent. */
+    /** The share of the other dispatchers that are silent. */
     double silentShare(long now) {
         return peerSlots.silentShare(now);
     }
 
-    /** Figures held: of peers, and our own. */
+    /** How many figures are held, peers' and our own. */
     int figureCount() {
         return peerSlots.figureCount() + sender.nameCount();
     }
--- a/src/main/java/barrowshore/module/Rng.java
+++ b/src/main/java/barrowshore/module/Rng.java
@@ -1,6 +1,6 @@
 package barrowshore.module;
 
-/** The random source of one dispatcher (xorshift64*), from its own seed. */
+/** One dispatcher's seeded random generator (xorshift64*). */
 final class Rng {
     private long state;
 
--- a/src/main/java/barrowshore/module/TenantQuotas.java
+++ b/src/main/java/barrowshore/module/TenantQuotas.java
@@ -3,9 +3,9 @@
 import barrowshore.module.DispatchApi.Settings;
 import java.util.Arrays;
 
-/** This dispatcher's even part of each tenant's quota, as token buckets. Traffic over it yields first. */
+/** Token buckets with this dispatcher's equal share of each tenant's quota. Jobs over quota are refused first. */
 final class TenantQuotas {
-    /** Seconds of its quota that a tenant may save up. */
+    /** Seconds of unused quota that a tenant may save up. */
     private static final double MAX_SAVED_SECONDS = 1;
 
     private final Settings settings;
@@ -16,7 +16,7 @@
         this.settings = settings;
     }
 
-    /** Tenants and quotas have been set; who was there keeps what it has saved, who is new starts with one job. */
+    /** Follows a change of tenants and quotas; known tenants keep their tokens, new ones start with one. */
     void applyQuotas() {
         int knownTenants = tokens.length;
         tokens = Arrays.copyOf(tokens, settings.tenantQuota.length);
@@ -27,7 +27,7 @@
         creditedAt = now;
     }
 
-    /** Whether a job of the tenant is over its quota; if not it is counted. */
+    /** Whether a job of the tenant is over its quota; if not, takes a token for it. */
     boolean countsAsOverQuota(long now, int tenant) {
         for (int t = 0; t < tokens.length; t++) {
             double quotaPerSecond = settings.tenantQuota[t] / settings.dispatchers;
--- a/src/main/java/barrowshore/module/TokenBucket.java
+++ b/src/main/java/barrowshore/module/TokenBucket.java
@@ -1,6 +1,6 @@
 package barrowshore.module;
 
-/** A token bucket; it decides nothing. */
+/** A token bucket that its user fills explicitly. */
 final class TokenBucket {
     private final double capacity;
     private double tokens;
--- a/src/main/java/barrowshore/module/TrafficStats.java
+++ b/src/main/java/barrowshore/module/TrafficStats.java
@@ -4,23 +4,23 @@
 import barrowshore.module.DispatchApi.Settings;
 import java.util.Arrays;
 
-/** Averages over recent requests, each of a stated weight; it decides nothing. */
+/** Running means over one dispatcher's recent requests and runs; owned by {@link Dispatcher}. */
 final class TrafficStats {
     private final Settings settings;
-    /** Work at speed 1 by class. Until jobs are served: the aim, what the site holds for a usual job. */
+    /** Work at speed 1 by class; the class's target until jobs have been served. */
     double[] meanWorkOfClass;
 
     private HintModel[] hintModels = new HintModel[0];
     private double trustedHintShare;
-    /** hinted: most jobs come with a guess at their work that is worth something. */
+    /** Whether most jobs come with a work hint that is trusted. */
     boolean mostlyHinted;
-    /** Work at speed 1, work times slots and its square, worth for each unit of work, aim, 1/(1+stretch). */
-    double meanWork,
-            meanSlotWork,
+
+    double meanWork, // at speed 1
+            meanSlotWork, // work times slots
             meanSquaredSlotWork,
             meanWorthPerWork,
             meanTarget,
-            meanInverseStretch = 1,
+            meanInverseStretch = 1, // of 1 / (1 + target stretch)
             requestCount;
 
     int highestPriority;
@@ -39,7 +39,7 @@
         meanSquaredSlotWork = meanWork * meanWork;
     }
 
-    /** Enters a request: its expected work and worth are set, and averaged in. */
+    /** Sets the job's expected work and worth, and adds them to the means. */
     void recordRequest(Job job, double weight) {
         boolean hasHint = job.workHintMicros > 0;
         job.expectedWork =
@@ -59,7 +59,7 @@
                 Math.max(weight, 1 / (5 + requestCount)) * job.slots * (job.worthPerWork - meanWorthPerWork);
     }
 
-    /** A job turned out to be so much work at speed 1. */
+    /** Records the measured work, at speed 1, of a served job. */
     void recordRun(Job job, double weight, double work) {
         meanWorkOfClass[job.classIndex] += weight * (work - meanWorkOfClass[job.classIndex]);
         if (job.workHintMicros > 0) {
@@ -73,25 +73,25 @@
                 / (settings.worthPerWork ? 1 : meanWorkOfClass[classIndex]);
     }
 
-    /** What a job weighs in a budget: where its work is no more than a guess, no less than E[w^2]/E[w]. */
+    /** Slots times work that a job takes from a budget; without a proven hint at least E[w^2]/E[w]. */
     double budgetSlotWork(Job job) {
         boolean hasProvenHint = job.workHintMicros > 0 && hintModels[job.classIndex].isProven();
         return Math.max(hasProvenHint ? 0 : sizeBiasedSlotWork(), job.expectedWork * job.slots);
     }
 
-    /** What a job pays for each unit of work, against the usual job. */
+    /** The job's worth per unit of work, relative to the mean job's. */
     double relativeWorth(Job job) {
         return job.worthPerWork / meanWorthPerWork;
     }
 
-    /** The size of a job that matters for chance: E[w^2]/E[w]. */
+    /** Mean size of a job weighted by its size, E[w^2]/E[w]: what a random slot is busy with. */
     double sizeBiasedSlotWork() {
         return meanSquaredSlotWork / meanSlotWork;
     }
 
     /**
-     * The classes have been set. There may be more than before; those that were there keep what was learned. One that is
-     * gone is there still, and nothing comes of it.
+     * Follows a change of the configured classes. New ones are added and the others keep what was learned; a removed
+     * one keeps its number and gets no jobs.
      */
     void applyClasses(MachineKind[] kinds) {
         for (JobClass jobClass : settings.classes) {
@@ -107,6 +107,7 @@
         Arrays.setAll(hintModels, c -> hintModels[c] != null ? hintModels[c] : new HintModel());
     }
 
+    /** Multiplies all learned work, when the unit of speed changes. */
     void rescaleWork(double scale) {
         Arrays.setAll(meanWorkOfClass, c -> meanWorkOfClass[c] * scale);
         for (HintModel model : hintModels) {
--- a/src/main/java/barrowshore/module/WorkCounters.java
+++ b/src/main/java/barrowshore/module/WorkCounters.java
@@ -1,8 +1,8 @@
 package barrowshore.module;
 
 /**
- * Counts of the entries that one dispatcher has gone over: workers, peers' figures, shapes of workers. Unlike times they
- * are the same on every machine, so that tests can bound how upkeep grows with the fleet. It decides nothing.
+ * Counts the entries that one dispatcher has visited: workers, peers' figures, worker groups. Unlike times, counts
+ * are the same on every machine, so that tests can bound how the work grows with the fleet.
  */
 public final class WorkCounters {
     private long refreshes;
@@ -31,7 +31,7 @@
         listVisits += visits;
     }
 
-    /** A datagram has come; malformed and unknown: how many of either so far. */
+    /** Counts a datagram received; malformed, unknown: totals so far. */
     void countDatagram(boolean entered, long visits, long malformed, long unknown) {
         datagrams += entered ? 1 : 0;
         datagramVisits += visits;
@@ -39,32 +39,32 @@
         unknownWorkers = unknown;
     }
 
-    /** How many times what ages has been renewed. */
+    /** Refreshes so far. */
     public long refreshes() {
         return refreshes;
     }
 
-    /** Entries gone over in all of these. */
+    /** Entries visited in all refreshes. */
     public long refreshVisits() {
         return refreshVisits;
     }
 
-    /** Datagrams of other dispatchers that were entered. */
+    /** Datagrams of other dispatchers that were applied. */
     public long datagrams() {
         return datagrams;
     }
 
-    /** Entries gone over for these. */
+    /** Entries visited for these datagrams. */
     public long datagramVisits() {
         return datagramVisits;
     }
 
-    /** Datagrams dropped: of no known form or version, or of no known sender. */
+    /** Datagrams dropped: of unknown format, version or sender. */
     public long malformedDatagrams() {
         return malformedDatagrams;
     }
 
-    /** Figures in datagrams that were dropped, since no worker of that name is known. */
+    /** Figures dropped because they name an unknown worker. */
     public long unknownWorkers() {
         return unknownWorkers;
     }
@@ -74,12 +74,12 @@
         return picks;
     }
 
-    /** Workers looked at in these. */
+    /** Workers visited in these searches. */
     public long pickVisits() {
         return pickVisits;
     }
 
-    /** Workers gone over when the list changed. */
+    /** Workers visited for list changes. */
     public long listVisits() {
         return listVisits;
     }
--- a/src/main/java/barrowshore/module/WorkerContribution.java
+++ b/src/main/java/barrowshore/module/WorkerContribution.java
@@ -2,9 +2,9 @@
 
 import barrowshore.module.FleetView.WorkerGroup;
 
-/** One worker's part in the sums of {@link FleetView}, as it was entered last; it decides nothing. */
+/** One worker's part in the sums of {@link FleetView}, which owns it, as it was last added. */
 final class WorkerContribution {
-    /** Whether the worker is in the sums, and as which kind. */
+    /** Whether the sums contain the worker; the fields up to group hold what was added. */
     boolean isCounted;
 
     int kind;
@@ -12,14 +12,14 @@
     double capacity;
     double peerSlots;
     OthersLoadEstimate.Sample sample = OthersLoadEstimate.Sample.NONE;
-    /** The workers that the others fill like this one; null: they send nothing here. */
+    /** Its group; null: other dispatchers are assumed to send nothing here. */
     WorkerGroup group;
-    /** What we have usually held here. */
+    /** Decay of the worker's mean of our own slots. */
     final DecayWeight ownSlotsDecay = new DecayWeight();
-    /** When it has to be looked at again, whatever happens; and the refresh that did so last. */
+    /** When its next visit is due; the number of the refresh that visited it last. */
     long nextVisitAt = Long.MAX_VALUE;
 
     long visitedInRefresh = -1;
-    /** Our slots here as the other dispatchers are to know them. */
+    /** Our slots here as last published to the other dispatchers. */
     int publishedSlots;
 }
--- a/src/main/java/barrowshore/module/WorkerList.java
+++ b/src/main/java/barrowshore/module/WorkerList.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The worker list as this dispatcher was last told, in order of first mention; it decides nothing. */
+/** The workers of one dispatcher, in order of first listing, as service discovery last listed them. */
 final class WorkerList {
     private final Map<String, Worker> workers = new LinkedHashMap<>();
-    /** All workers by their names in the exchange. */
+    /** All workers by their numbers in the messages between dispatchers. */
     private final NavigableMap<Integer, List<Worker>> byExchangeName = new TreeMap<>();
 
     private final HallAdapter halls;
-    /** The workers that are listed as ready. */
+    /** The workers listed as ready. */
     Worker[] ready = new Worker[0];
 
     WorkerList(HallAdapter halls) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Enters a list or its changes; returns the workers that it may have changed. live: ratings are sizes lowered by load,
-     * some time ago and the same for all; what is steady in them is the size, the most that a worker was ever rated.
+     * Applies a list or its changes; returns the workers that may have changed. ratingsReflectLoad: a rating is the
+     * worker's size lowered by its load some time ago, so the highest rating seen is taken as its size.
      */
     Collection<Worker> update(ListKind kind, List<Member> entries, long now, boolean ratingsReflectLoad) {
         Set<Worker> changed = new LinkedHashSet<>();
@@ -74,26 +74,26 @@
         return worker;
     }
 
-    /** The workers whose names in the exchange are in a range; names may clash, and then it is about all of them. */
+    /** The workers whose exchange names are in [from, to); several may share a name. */
     List<Worker> workersNamed(int from, int to) {
         List<Worker> found = new ArrayList<>(1);
         byExchangeName.subMap(from, to).values().forEach(found::addAll);
         return found;
     }
 
-    /** How many ready workers get nothing just now, whatever the job. */
+    /** How many ready workers get no job of any kind now. */
     int countAvoided(long now) {
         return (int) Arrays.stream(ready)
                 .filter(w -> w.isAvoided(now) || !halls.isHallInUse(w))
                 .count();
     }
 
-    /** Every worker that a list has named. */
+    /** Every worker listed so far. */
     Collection<Worker> all() {
         return workers.values();
     }
 
-    /** The worker, or null if no list has named it. */
+    /** The worker, or null if it was never listed. */
     Worker find(String id) {
         return workers.get(id);
     }
--- a/src/main/java/barrowshore/module/WorkerStats.java
+++ b/src/main/java/barrowshore/module/WorkerStats.java
@@ -1,8 +1,8 @@
 package barrowshore.module;
 
-/** What jobs have shown of one worker, fading: sums that halve in a stated time. It decides nothing. */
+/** Decaying sums over the jobs that one worker ran; owned by {@link Worker}. */
 final class WorkerStats {
-    /** Work done at speed 1, how long it took, errors, and ends of any kind. */
+    /** Work at speed 1 and running time of served jobs; jobs that ended in an error, and in any way. */
     double work, runTime, errorJobs, endedJobs;
 
     private long decayedAt;
