--- a/src/benchmark/java/barrowshore/module/PickBenchmark.java
+++ b/src/benchmark/java/barrowshore/module/PickBenchmark.java
@@ -28,8 +28,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a request with its outcome, a refresh, a peer's datagram and a change of the list cost the module, with halls off
- * and on, at sizes up to twice the target; with {@code -prof gc} also what they allocate.
+ * Time taken by a request with its outcome, a refresh, a peer's datagram and a list change in the decision module, with
+ * halls off and on, for fleets up to twice the target size; {@code -prof gc} adds the allocations.
  */
 @State(org.openjdk.jmh.annotations.Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -38,11 +38,12 @@
 @Measurement(iterations = 4, time = 500, timeUnit = TimeUnit.MILLISECONDS)
 @Fork(1)
 public class PickBenchmark {
-    /** Schedulers at the target. */
+    /** Schedulers at the target size. */
     private static final int DISPATCHERS = 10;
-    /** Different datagrams that a peer has told, and where they hold the number of the peer's life (SlotSnapshot). */
+    /** Distinct peer datagrams to replay, and the offset of the peer's incarnation in them (see SlotSnapshot). */
     private static final int DATAGRAMS = 512, INCARNATION_OFFSET = 1;
 
+    /** Bound of the steps for recording them. */
     private static final int MAX_STEPS = 20 * DATAGRAMS;
 
     @Param({"10", "96", "385", "770", "1540"})
@@ -91,27 +92,27 @@
         public void log(String line) {}
     }
 
-    private Dispatcher newDispatcher(int me, long seed, RecordingActions actions) {
+    private Dispatcher newDispatcher(int ownIndex, long seed, RecordingActions actions) {
         Settings settings = new Settings();
         settings.seed = seed;
         settings.classes =
                 new JobClass[] {new JobClass(200_000, 1, 5_000_000, 10, 0, RepeatSafety.SAFE, DedupScope.ALL, 0, -1, 0)
                 };
         settings.dispatchers = DISPATCHERS;
-        settings.ownIndex = me;
+        settings.ownIndex = ownIndex;
         settings.mayMessagePeers = true;
         settings.crossZoneCharge = 0.1;
         settings.notesStart = true;
         settings.progressMicros = 2_000_000;
         settings.halls = halls ? HallRules.defaults(List.of("a", "b", "c", "d"), 0) : null;
-        Dispatcher made = new Dispatcher(settings, actions);
+        Dispatcher created = new Dispatcher(settings, actions);
         List<Member> list = new ArrayList<>();
         for (int k = 0; k < servers; k++) {
             list.add(member(k, Health.READY));
         }
-        made.start(now);
-        made.list(now, ListKind.WHOLE, list);
-        return made;
+        created.start(now);
+        created.list(now, ListKind.WHOLE, list);
+        return created;
     }
 
     private static Member member(int number, Health health) {
@@ -128,7 +129,7 @@
         dispatcher.timerFired(now, "refresh");
     }
 
-    /** What a peer tells in one of its lives, as it starts and ends tasks. */
+    /** The datagrams that a peer sends in one incarnation while jobs start and end. */
     private List<byte[]> recordPeerDatagrams(long seed) {
         RecordingActions actions = new RecordingActions();
         Dispatcher peer = newDispatcher(1, seed, actions);
@@ -143,12 +144,12 @@
         return actions.peerMessages;
     }
 
-    /** A datagram that was dropped costs nothing, and would be measured for one that was entered. */
+    /** Fails if datagrams were dropped, since dropped ones cost almost nothing and would distort the result. */
     @TearDown
     public void check() {
         if (receivedDatagrams > 0 && dispatcher.workCounters().datagrams() < receivedDatagrams / 2) {
             throw new IllegalStateException(
-                    dispatcher.workCounters().datagrams() + " of " + receivedDatagrams + " datagrams were entered");
+                    dispatcher.workCounters().datagrams() + " of " + receivedDatagrams + " datagrams were applied");
         }
     }
 
@@ -170,7 +171,7 @@
     @Benchmark
     public void datagram() {
         byte[] next = datagrams.get((int) (receivedDatagrams % datagrams.size()));
-        // A later life in each round, or what is told again would be dropped as doubled.
+        // A later incarnation in each round, since repeated datagrams would be dropped.
         ByteBuffer.wrap(next).putInt(INCARNATION_OFFSET, (int) (1 + receivedDatagrams / datagrams.size()));
         receivedDatagrams++;
         dispatcher.peerMessage(now, 1, next);
--- a/src/test/java/barrowshore/module/DispatcherHarness.java
+++ b/src/test/java/barrowshore/module/DispatcherHarness.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A dispatcher on a fake clock with its actions recorded, as an embedder would drive it. */
+/** Drives a dispatcher on a fake clock and records its actions. */
 final class DispatcherHarness implements DispatchApi.Actions {
-    /** A timer that is due at a time. */
+    /** A timer that the dispatcher has set. */
     record Due(long at, String token) {}
 
     final Settings settings;
@@ -54,7 +54,7 @@
         return this;
     }
 
-    /** Sends a request and returns the worker that it went to last, or null if it went nowhere. */
+    /** Makes a request and returns the worker that got it, or null if none did. */
     String request(String id) {
         dispatcher.request(now, new Request(id, 0, 0, 1, 0, 2_000_000));
         return lastWorker(id);
@@ -73,7 +73,7 @@
         dispatcher.outcome(now, id, attemptCount(id) - 1, status == Status.OK, status, 10_000, null);
     }
 
-    /** Runs the timers that fall due up to a time. */
+    /** Advances the clock to a time and fires the timers due by then. */
     void advanceTo(long time) {
         while (true) {
             Due next = null;
--- a/src/test/java/barrowshore/module/EmbeddingTest.java
+++ b/src/test/java/barrowshore/module/EmbeddingTest.java
@@ -18,9 +18,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's embedding, as another program would do it. */
+/** Another program can embed the decision module as the README shows. */
 class EmbeddingTest {
-    /** Carries out a dispatcher's actions; a real one would use the network and a timer wheel. */
+    /** Records a dispatcher's actions; a real program would use the network and timers. */
     private static final class RecordingActions implements DispatchApi.Actions {
         final List<String> done = new ArrayList<>();
 
--- a/src/test/java/barrowshore/module/FailingWorkerTest.java
+++ b/src/test/java/barrowshore/module/FailingWorkerTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Workers in trouble: what counts against them, and what does not. */
+/** Which failures make the dispatcher avoid a worker, and which do not. */
 class FailingWorkerTest {
     private static DispatcherHarness harness(int workers) {
         return new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL))
@@ -23,16 +23,16 @@
     }
 
     @Test
-    void aConnectionThatBreaksDoesNotSetItsWorkerAside() {
+    void aResetConnectionDoesNotMakeItsWorkerAvoided() {
         DispatcherHarness harness = harness(1);
         harness.request("r");
         harness.outcome("r", Status.RESET);
         assertThat(harness.request("s")).isEqualTo("w0");
     }
 
-    /** What clients that left had asked for is run for nobody, and takes its slots all the same for about its time. */
+    /** Jobs of clients that have left still run for about their expected time and hold their slots. */
     @Test
-    void whatWasGivenUpTakesItsSlotsUntilItWouldHaveEnded() {
+    void abandonedJobsHoldTheirSlotsUntilTheirExpectedEnd() {
         DispatcherHarness harness = harness(1);
         for (int i = 0; i < 4; i++) {
             harness.request("r" + i);
@@ -50,21 +50,21 @@
                 .contains("w0");
     }
 
-    /** Starts are told at once, shares done every 2 s, as at sites with notes. */
-    private static DispatcherHarness noting(RepeatSafety effect) {
-        Settings settings = DispatcherHarness.settings(effect, DedupScope.ALL);
+    /** Settings of a site where workers send a note at a job's start and progress notes every 2 s. */
+    private static DispatcherHarness withNotes(RepeatSafety safety) {
+        Settings settings = DispatcherHarness.settings(safety, DedupScope.ALL);
         settings.classes =
-                new JobClass[] {new JobClass(1_000_000, 0, 9_000_000, 1, 0, effect, DedupScope.ALL, 0, -1, 0)};
+                new JobClass[] {new JobClass(1_000_000, 0, 9_000_000, 1, 0, safety, DedupScope.ALL, 0, -1, 0)};
         settings.notesStart = true;
         settings.progressMicros = 2_000_000;
         settings.mayHedge = true;
         return new DispatcherHarness(settings).withWorkers(3);
     }
 
-    /** The job fills the worker: its own slots are no wait that would excuse the silence. */
+    /** The job fills the worker; its own slots must not count as a wait that would explain a missing start note. */
     @Test
-    void aFreeWorkerThatTellsNoStartIsSetAsideUntilItGivesASign() {
-        DispatcherHarness harness = noting(RepeatSafety.UNSAFE);
+    void aFreeWorkerWithoutAStartNoteIsAvoidedUntilItGivesASign() {
+        DispatcherHarness harness = withNotes(RepeatSafety.UNSAFE);
         harness.dispatcher.request(harness.now, new Request("r", 0, 0, 4, 0, 9_000_000));
         String silent = harness.lastWorker("r");
         harness.advanceTo(harness.now + 1_000_000);
@@ -79,8 +79,8 @@
     }
 
     @Test
-    void oneThatTellsItsStartIsNot() {
-        DispatcherHarness harness = noting(RepeatSafety.UNSAFE);
+    void aWorkerThatSendsAStartNoteIsNotAvoided() {
+        DispatcherHarness harness = withNotes(RepeatSafety.UNSAFE);
         String worker = harness.request("r");
         harness.dispatcher.note(harness.now, "r", 0, Note.STARTED, 0);
         harness.advanceTo(harness.now + 1_000_000);
@@ -89,8 +89,8 @@
     }
 
     @Test
-    void aSecondCopyOfWhatMayRunTwiceFollowsAnAttemptWithoutASign() {
-        DispatcherHarness safe = noting(RepeatSafety.SAFE), unsafe = noting(RepeatSafety.UNSAFE);
+    void aSafeJobIsHedgedAfterAnAttemptWithoutASign() {
+        DispatcherHarness safe = withNotes(RepeatSafety.SAFE), unsafe = withNotes(RepeatSafety.UNSAFE);
         safe.request("r");
         unsafe.request("r");
         safe.advanceTo(safe.now + 1_000_000);
@@ -100,12 +100,12 @@
     }
 
     @Test
-    void afterATimeOutWithoutAWordOneJobTriesTheWorker() {
+    void afterATimeOutWithoutASignOneJobTriesTheWorker() {
         DispatcherHarness harness = harness(1);
         harness.request("r");
         harness.advanceTo(harness.now + 100_000);
         harness.outcome("r", Status.TIMEOUT);
-        assertThat(harness.request("s")).as("aside").isNull();
+        assertThat(harness.request("s")).as("avoided").isNull();
         harness.advanceTo(harness.now + 5_000_000);
         assertThat(harness.request("t")).isEqualTo("w0");
         assertThat(harness.request("u")).as("one at a time until it serves").isNull();
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void whatWasNotSentIsSentElsewhereAndNothingIsHeldAgainstTheWorker() {
+    void anAttemptThatWasNotSentIsRetriedElsewhereAndDoesNotCountAgainstTheWorker() {
         DispatcherHarness harness = harness(2);
         String first = harness.request("r");
         harness.outcome("r", Status.NOT_SENT);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void whatCannotBeDoneInTheTimeLeftIsRefusedAtOnce() {
+    void aJobThatCannotEndInTheTimeLeftIsRefusedAtOnce() {
         DispatcherHarness harness = harness(2);
         harness.dispatcher.request(harness.now, new Request("late", 0, 0, 1, 0, 50_000));
         harness.dispatcher.request(harness.now, new Request("in-time", 0, 0, 1, 0, 300_000));
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void oneThatDoesNotComeUpDoes() {
+    void aFailedConnectionMakesItsWorkerAvoided() {
         DispatcherHarness harness = harness(1);
         harness.request("r");
         harness.outcome("r", Status.CONNECT_FAILED);
--- a/src/test/java/barrowshore/module/IndexTableTest.java
+++ b/src/test/java/barrowshore/module/IndexTableTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The tables against value iteration, against all thresholds tried, and against the report's lemmas. */
+/** Checks index tables against value iteration, all other thresholds and the lemmas of Berten and Gaujal's paper. */
 class IndexTableTest {
     private static final double ALPHA = 0.95;
 
-    /** Minimal cost by value iteration on the Bellman equation of eq. (2), min taken over accept and reject. */
+    /** Minimal cost by value iteration on the Bellman equation (2) of the paper, whose symbols are used here. */
     private static double[] valueIteration(int s, int bound, double load, double r) {
         double arrive = load / (1 + load), serve = 1 / (s * (1 + load));
         double[] j = new double[bound + 1];
@@ -70,7 +70,7 @@
                 assertTrue(index[x] >= index[x - 1], "falls at " + x);
             }
         }
-        // At indifference nobody else is let in, so an idle worker's index is the discounted service time alone.
+        // At indifference no other job is accepted, so an idle worker's index is the discounted service time.
         double steps = s * (1 + load), alpha = 1 - 1 / (IndexTable.HORIZON_SERVICE_TIMES * steps);
         double alone = 1 / (1 - alpha + alpha / steps) / steps;
         assertEquals(alone, index[0], IndexTable.SEARCH_PRECISION_SHARE * IndexTable.HORIZON_SERVICE_TIMES);
--- a/src/test/java/barrowshore/module/LoadReportReaderTest.java
+++ b/src/test/java/barrowshore/module/LoadReportReaderTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Load reports of sites that tell different figures. */
+/** Load reports of sites that contain different figures. */
 class LoadReportReaderTest {
     private static final Load IDLE = new Load(Double.NaN, 0, 4), BUSY = new Load(Double.NaN, 6, 0);
 
     @Test
-    void whereOnlyFreeSlotsAreToldABusyWorkerIsLeftAlone() {
+    void whereOnlyFreeSlotsAreReportedABusyWorkerGetsNoJobs() {
         DispatcherHarness harness =
                 new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(2);
         for (int i = 0; i < 40; i++) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void slotsAreTheMostThatWasFreeBesideWhatRuns() {
+    void slotsAreTheMostFreeOnesPlusThoseOfRunningJobs() {
         MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         for (int i = 0; i < 200; i++) {
@@ -43,7 +43,9 @@
         assertThat(w.usualOtherSlots).isBetween(3.0, 6.0);
     }
 
-    /** A full one shows as many slots as we have jobs running there, mostly none: then its kind was taken to have one. */
+    /**
+     * A full worker shows only the slots of our jobs there, mostly none; its kind was then assumed to have one slot.
+     */
     @Test
     void aFullWorkerIsNotTakenForASmallOne() {
         MachineKind kind = new MachineKind(1);
@@ -53,9 +55,9 @@
         assertThat(kind.slots).isCloseTo(4, within(0.1));
     }
 
-    /** Few reports come where there are many schedulers: room that they show is soon believed. */
+    /** With many schedulers each gets few reports, so free slots in them must count quickly. */
     @Test
-    void whatIsFreeIsThereForSure() {
+    void freeSlotsAreLearnedQuickly() {
         MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         w.slots = 4;
@@ -65,9 +67,9 @@
         assertThat(kind.slots).isCloseTo(6, within(0.2));
     }
 
-    /** Both schedulers read the same report: whoever has more there by now must not think that there are fewer others. */
+    /** Jobs sent since the report was made must not make the others' slots look fewer. */
     @Test
-    void whatWasSentSinceTheReportIsNotTakenForRoomOfOthers() {
+    void jobsSentSinceTheReportDoNotLowerTheOthersSlots() {
         MachineKind kind = new MachineKind(1);
         kind.slots = 6;
         Worker w = new Worker("w");
@@ -77,14 +79,14 @@
     }
 
     @Test
-    void whatIsCountedInJobsTakesAsManySlotsAsJobsDo() {
+    void reportedJobsCountWithTheirMeanSlots() {
         Worker w = new Worker("w");
         LoadReportReader.applyReport(1, w, new MachineKind(1), new Load(3, 0, 2), 2, 20);
         assertThat(w.reportedOtherSlots).isEqualTo(6);
     }
 
     @Test
-    void aReportWithoutAnyFigureOfUseChangesNothing() {
+    void aReportWithoutUsableFiguresChangesNothing() {
         MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         LoadReportReader.applyReport(1, w, kind, new Load(Double.NaN, 3, Double.NaN), 1, 20);
@@ -92,9 +94,12 @@
         assertThat(kind.slots).isZero();
     }
 
-    /** Where free slots are not told, what runs beside a queue is the least that there is, and a wide job may leave room. */
+    /**
+     * Without reported free slots, jobs running beside a queue are a lower bound: a wide queued job may leave slots
+     * empty.
+     */
     @Test
-    void whatRunsBesideAQueueIsTheLeastThatThereIs() {
+    void jobsRunningBesideAQueueAreALowerBoundOfSlots() {
         MachineKind kind = new MachineKind(1);
         Worker w = new Worker("w");
         w.slots = 4;
@@ -106,9 +111,9 @@
         assertThat(kind.slots).isCloseTo(6, within(0.5));
     }
 
-    /** A live rating falls with load; what is steady in it is the size. Fixed ones are as they were told last. */
+    /** A rating that falls with load yields the size as its maximum; a fixed one is taken as last listed. */
     @Test
-    void aLiveRatingsSizeIsTheMostThatItWas() {
+    void theSizeIsTheHighestRatingWhereRatingsReflectLoad() {
         for (boolean live : new boolean[] {true, false}) {
             DispatchApi.Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
             WorkerList roster = new WorkerList(new HallAdapter(settings, null, new Rng(1), new TrafficStats(settings)));
--- a/src/test/java/barrowshore/module/OthersLoadEstimateTest.java
+++ b/src/test/java/barrowshore/module/OthersLoadEstimateTest.java
@@ -12,7 +12,7 @@
 import barrowshore.module.DispatchApi.Status;
 import org.junit.jupiter.api.Test;
 
-/** How much others have in flight, where they cannot say so. */
+/** The estimate of other dispatchers' slots in flight where they send no messages. */
 class OthersLoadEstimateTest {
     private static Worker[] workers(int count, int reported, double usual, long at) {
         Worker[] workers = new Worker[count];
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whatIsTakenBackCountsNoMore() {
+    void aReplacedSampleCountsNoMore() {
         OthersLoadEstimate load = new OthersLoadEstimate();
         Worker[] workers = workers(64, 4, 2, 10);
         for (Worker w : workers) {
@@ -48,19 +48,19 @@
     }
 
     @Test
-    void withoutReportsItIsOurOwnTimesTheOthers() {
+    void withoutReportsItIsExtrapolatedFromOurOwnJobs() {
         assertThat(others(10, workers(64, 0, 0, 0), 470, 95)).isEqualTo(470);
     }
 
-    /** One of many sees little of the fleet by itself, and what it sees may be several times the usual. */
+    /** One of many dispatchers has few jobs of the fleet, possibly several times the mean. */
     @Test
-    void oneOfManyGoesByTheReports() {
+    void oneOfManyDispatchersReliesOnReports() {
         assertThat(others(10, workers(64, 4, 2, 10), 470, 95)).isBetween(128.0, 200.0);
     }
 
-    /** Its own jobs are a fair sample, and fresher than any report. */
+    /** Own jobs are a fair sample, and fresher than any report. */
     @Test
-    void oneOfFewGoesByItsOwn() {
+    void oneOfFewDispatchersReliesOnItsOwnJobs() {
         assertThat(others(10, workers(10, 10, 1, 10), 30, 3)).isEqualTo(30);
     }
 
@@ -70,11 +70,11 @@
     }
 
     /**
-     * A dispatcher that many callers came to must not take all others for as busy, where the reports say that the workers
-     * are not: it turned down a third of its jobs though two thirds of the fleet was free.
+     * A dispatcher with many clients must not assume that all others are as busy if reports show free workers: it once
+     * refused a third of its jobs although two thirds of the fleet were free.
      */
     @Test
-    void aBusyDispatcherAmongManyIdleOnesDoesNotTurnJobsDown() {
+    void aBusyDispatcherAmongManyIdleOnesDoesNotRefuseJobs() {
         Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
         settings.dispatchers = 95;
         settings.reportSource = ReportSource.ANSWERS;
@@ -88,7 +88,7 @@
             harness.advanceTo(harness.now);
             harness.request("r" + k);
             if (k >= open && harness.attemptCount("r" + (k - open)) > 0) {
-                // Thin traffic has few workers' reports; here one in eight has any.
+                // With little traffic few workers report; here one in eight does.
                 boolean reports = harness.lastWorker("r" + (k - open)).matches("w[0-7]");
                 harness.dispatcher.outcome(
                         harness.now,
--- a/src/test/java/barrowshore/module/PeerSlotExchangeTest.java
+++ b/src/test/java/barrowshore/module/PeerSlotExchangeTest.java
@@ -11,11 +11,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What dispatchers tell one another, over a way that loses, doubles and reorders; see also the tests of the exchange. */
+/**
+ * Dispatchers' messages to each other when they are lost, repeated or reordered; see also the exchange package's
+ * tests.
+ */
 class PeerSlotExchangeTest {
     private static final long SECOND = 1_000_000;
 
-    /** One dispatcher's books of its peers, with a list of workers of its own. */
+    /** One dispatcher's worker list and its exchange with peers. */
     private static final class PeerSide {
         final WorkerList workerList;
         final WorkCounters counters = new WorkCounters();
@@ -50,7 +53,7 @@
     private final PeerSide second = new PeerSide(2, 0, 4);
 
     @Test
-    void sumsWhatAllHaveToldAndForgetsTheSilent() {
+    void sumsThePeersSlotsAndForgetsSilentPeers() {
         ours.peers.receive(SECOND, 1, first.datagramWithSlots(SECOND, 0, 3));
         ours.peers.receive(2 * SECOND, 2, second.datagramWithSlots(2 * SECOND, 0, 4));
         assertThat(ours.worker(0).peerSlots).isEqualTo(7);
@@ -64,7 +67,7 @@
     }
 
     @Test
-    void dropsWhatWasOvertakenOrCameTwice() {
+    void dropsReorderedAndRepeatedMessages() {
         byte[] early = first.datagramWithSlots(SECOND, 0, 3);
         byte[] late = first.datagramWithSlots(SECOND + SECOND / 10, 0, 1);
         ours.peers.receive(2 * SECOND, 1, late);
@@ -72,12 +75,12 @@
         ours.peers.receive(3 * SECOND, 1, late);
         assertThat(ours.worker(0).peerSlots).isEqualTo(1);
         assertThat(ours.peers.silentShare(5 * SECOND + 1))
-                .as("heard of at 2 s only")
+                .as("last accepted message at 2 s")
                 .isEqualTo(1);
     }
 
     @Test
-    void theWholeStateCorrectsWhatWasLost() {
+    void aFullSnapshotRepairsALostMessage() {
         ours.peers.receive(SECOND, 1, first.datagramWithSlots(SECOND, 0, 3));
         first.datagramWithSlots(SECOND * 2, 0, 0); // lost
         ours.peers.receive(3 * SECOND, 1, first.datagramWithSlots(3 * SECOND, 1, 2));
@@ -86,7 +89,7 @@
     }
 
     @Test
-    void aRestartedPeerBeginsAnew() {
+    void aRestartedPeersEarlierSlotsAreDropped() {
         first.datagramWithSlots(SECOND, 0, 1);
         ours.peers.receive(2 * SECOND, 1, first.datagramWithSlots(2 * SECOND, 0, 3));
         byte[] stray = first.datagramWithSlots(3 * SECOND, 0, 4);
@@ -97,7 +100,7 @@
     }
 
     @Test
-    void dropsAndCountsWhatNoPeerSends() {
+    void dropsAndCountsMalformedMessages() {
         byte[] good = first.datagramWithSlots(SECOND, 0, 3);
         byte[] otherFormat = good.clone();
         otherFormat[0] = 9;
@@ -113,7 +116,7 @@
     }
 
     @Test
-    void dropsAndCountsWhatNamesUnknownWorkers() {
+    void dropsAndCountsFiguresOfUnknownWorkers() {
         PeerSide larger = new PeerSide(1, 0, 6);
         larger.worker(5).ownSlots = 2;
         larger.peers.updateOwnSlots(larger.worker(5));
@@ -123,9 +126,9 @@
         assertThat(ours.peers.figureCount()).isEqualTo(1);
     }
 
-    /** A worker that drains holds what it held, and nobody chooses it any more. */
+    /** No dispatcher chooses a draining worker, so its slots are not sent although its jobs still run. */
     @Test
-    void tellsNothingOfAWorkerThatWantsNothingNew() {
+    void sendsNoSlotsOfADrainingWorker() {
         ours.peers.receive(SECOND, 1, first.datagramWithSlots(SECOND, 0, 3));
         first.workerList.update(
                 ListKind.CHANGES, List.of(DispatcherHarness.member("w0", Health.DRAINING, 0, 0, 0)), 2 * SECOND, false);
@@ -133,9 +136,9 @@
         assertThat(ours.worker(0).peerSlots).isZero();
     }
 
-    /** The first byte of the halls' datagrams is their mark; no figure of ours may be taken for one. */
+    /** Hall messages are recognized by their first byte, which no slot message may start with. */
     @Test
-    void isNotTakenForATellingOfHalls() {
+    void aSlotMessageIsNotTakenForAHallMessage() {
         assertThat(first.datagramWithSlots(SECOND, 0, 3)[0]).isNotEqualTo(barrowshore.halls.HallPolicy.MESSAGE_TYPE);
     }
 }
--- a/src/test/java/barrowshore/module/PlacementTest.java
+++ b/src/test/java/barrowshore/module/PlacementTest.java
@@ -7,11 +7,14 @@
 import barrowshore.module.DispatchApi.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Where jobs go when what is cheapest is not what is best. */
+/** Placement where the cheapest worker is not eligible. */
 class PlacementTest {
-    /** With a price on crossing, a crowded worker at home once hid an idle one abroad, and jobs were turned down. */
+    /**
+     * With a charge for crossing zones, a crowded worker in the own zone once hid an idle one elsewhere; jobs were
+     * refused.
+     */
     @Test
-    void aJobCrossesOnceNobodyAtHomeIsWorthWaitingFor() {
+    void aJobCrossesZonesWhenTheWaitInItsOwnZoneIsTooLong() {
         Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
         settings.crossZoneCharge = 1;
         DispatcherHarness harness = new DispatcherHarness(settings).withWorkers(2);
@@ -22,7 +25,7 @@
         assertThat(harness.workersSentTo.values().stream()
                         .filter(to -> to.contains("w1"))
                         .count())
-                .as("jobs abroad before the first is turned down")
+                .as("jobs in the other zone before the first is refused")
                 .isGreaterThanOrEqualTo(4);
         assertThat(harness.lastWorker("r0")).isEqualTo("w0");
     }
--- a/src/test/java/barrowshore/module/RulesTest.java
+++ b/src/test/java/barrowshore/module/RulesTest.java
@@ -23,12 +23,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The four binding rules, each from its own text, by event sequences without the harness. */
+/** The four rules that the dispatcher must never break, each checked by sequences of events. */
 class RulesTest {
     @Nested
     class NoRequestIsLost {
         @Test
-        void withoutWorkersItIsRefusedAtOnce() {
+        void withoutWorkersARequestIsRefusedAtOnce() {
             DispatcherHarness harness =
                     new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.UNSAFE, DedupScope.ALL));
             assertNull(harness.request("r"));
@@ -37,9 +37,9 @@
 
         @ParameterizedTest
         @EnumSource(RepeatSafety.class)
-        void aTimeOutAtTheDeadlineIsAnsweredOnceInTheSameCall(RepeatSafety effect) {
+        void aTimeOutAtTheDeadlineIsAnsweredOnceInTheSameCall(RepeatSafety safety) {
             DispatcherHarness harness =
-                    new DispatcherHarness(DispatcherHarness.settings(effect, DedupScope.ALL)).withWorkers(4);
+                    new DispatcherHarness(DispatcherHarness.settings(safety, DedupScope.ALL)).withWorkers(4);
             harness.request("r");
             harness.advanceTo(harness.now + 2_000_000);
             harness.outcome("r", Status.TIMEOUT);
@@ -51,7 +51,7 @@
         }
 
         @Test
-        void allAttemptsUsedEndsInARefusal() {
+        void aRequestWithoutAttemptsLeftIsRefused() {
             DispatcherHarness harness = new DispatcherHarness(
                             DispatcherHarness.settings(RepeatSafety.UNSAFE, DedupScope.ALL))
                     .withWorkers(10);
@@ -64,7 +64,7 @@
         }
 
         @Test
-        void nothingFollowsTheEnd() {
+        void anEndedRequestGetsNoFurtherAction() {
             DispatcherHarness harness =
                     new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(4);
             harness.request("gone");
@@ -119,7 +119,7 @@
 
         @ParameterizedTest
         @CsvSource({"ZONE", "CELL"})
-        void aKeyedRepeatStaysInItsGroup(DedupScope scope) {
+        void aKeyedRepeatStaysInItsDedupScope(DedupScope scope) {
             DispatcherHarness harness =
                     new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.KEYED, scope)).withWorkers(8);
             int first = Integer.parseInt(harness.request("r").substring(1));
@@ -132,14 +132,14 @@
             for (int i = 0; i < 3; i++) {
                 harness.outcome("r", Status.ERROR);
             }
-            assertEquals(0, harness.countActions("refuse r"), "a group that is not all forbids a refusal");
+            assertEquals(0, harness.countActions("refuse r"), "a scope smaller than ALL rules out a refusal");
             assertEquals(1, harness.countActions("fail r"));
         }
 
-        /** A connection may take 0.25 s to come up: what comes after 0.5 s finds the key forgotten. */
+        /** Connecting may take 0.25 s; a repeat that arrives after the window of 0.5 s finds its key forgotten. */
         @ParameterizedTest
         @CsvSource({"500000,1", "300000,1", "200000,2"})
-        void aKeyedRepeatThatMayComeOutsideItsWindowIsNotSent(long after, int attempts) {
+        void aKeyedRepeatThatMayArriveAfterItsWindowIsNotSent(long after, int attempts) {
             DispatcherHarness harness = new DispatcherHarness(
                             DispatcherHarness.settings(RepeatSafety.KEYED, DedupScope.ALL))
                     .withWorkers(8);
@@ -166,7 +166,7 @@
     }
 
     @Nested
-    class DrainsAreKept {
+    class DrainingWorkersGetNoJobs {
         @ParameterizedTest
         @EnumSource(
                 value = Health.class,
@@ -208,7 +208,7 @@
     }
 
     @Nested
-    class NoColdWorkerIsPushedOver {
+    class NoColdWorkerIsOverloaded {
         @ParameterizedTest
         @CsvSource({"1,40,100000", "4,40,100000", "40,40,100000", "40,8,100000", "14,5,500000", "14,5,100000"})
         void allDispatchersTogetherStayUnderTheBudgetInEveryWindow(int dispatchers, int slots, long work) {
@@ -217,7 +217,7 @@
                 while (sent.get(from) <= sent.get(i) - 1_000_000) {
                     from++;
                 }
-                // What it can do at that moment, as the rule has it.
+                // Three times the worker's guaranteed capacity at that moment.
                 double share = 0.1 + 0.9 * (sent.get(i) - WORKER_START_MICROS) / WARM_UP_MICROS;
                 double limit = 3 * share * slots * 1e6 / work;
                 assertTrue(i - from + 1 <= limit + 1, i - from + 1 + " sent, limit " + limit);
@@ -225,7 +225,7 @@
             assertTrue(sent.size() > 10, "a warming worker is used: " + sent.size());
         }
 
-        /** Fourteen dispatchers, a budget of three jobs a window: taking turns, it is still used from the start. */
+        /** Fourteen dispatchers take turns at a budget of three jobs per window, and use it from the start. */
         @Test
         void aBudgetOfAFewJobsIsUsedFromTheStart() {
             List<Long> sent = coldSends(14, 5, 500_000, 0);
@@ -233,14 +233,14 @@
                     .filter(at -> at < WORKER_START_MICROS + WARM_UP_MICROS / 4)
                     .count();
             assertTrue(early >= 4, early + " sent in the first quarter of the warm-up");
-            assertEquals(sent, coldSends(14, 5, 500_000, 3_000_000), "settings taken over later give the same turns");
+            assertEquals(sent, coldSends(14, 5, 500_000, 3_000_000), "changed settings give the same turns");
         }
 
         private static final long WORKER_START_MICROS = 1_000_000_000L, WARM_UP_MICROS = 20_000_000L;
 
-        /** A tenth of forty cores is four whole ones: a job runs there as it would anywhere. */
+        /** A cold worker with a tenth of forty cores has four whole ones, so a job runs there at full speed. */
         @Test
-        void aColdWorkerHasFewerCoresAndNotSlowerOnes() {
+        void aColdWorkerHasFewerCoresNotSlowerOnes() {
             DispatcherHarness harness =
                     new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL));
             harness.dispatcher.list(
@@ -248,9 +248,9 @@
             assertEquals("cold", harness.request("r"), String.join("; ", harness.actions));
         }
 
-        /** With less than half a core a job would miss its aim: it is turned down, to be tried again, not sent late. */
+        /** With less than half a core the job would miss its target; refusing it lets the client retry. */
         @Test
-        void aJobThatWouldMissItsAimAtAColdWorkerIsTurnedDown() {
+        void aJobThatWouldMissItsTargetAtAColdWorkerIsRefused() {
             DispatcherHarness harness =
                     new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL));
             harness.dispatcher.list(
@@ -262,14 +262,14 @@
         }
 
         /**
-         * When each of so many dispatchers, with demand without end and clocks somewhat apart, sent to one worker that
-         * starts cold. With a former window they are told of the rule's after their start.
+         * The times at which dispatchers with unlimited demand and slightly different clocks send to one cold worker.
+         * With a formerWindow above 0 they start with that overload window and change to the default one.
          */
         private List<Long> coldSends(int dispatchers, int slots, long work, long formerWindow) {
             List<Long> sent = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
                 Settings settings = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
-                // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
+                // The target grows with the work up to the deadline, so that a job on a cold worker is not late.
                 settings.classes[0] =
                         new JobClass(work, 19, 2_000_000, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500_000, -1, 0);
                 settings.dispatchers = dispatchers;
@@ -283,7 +283,7 @@
                 harness.dispatcher.changeSettings(harness.now, settings);
                 Member fresh = new Member("cold", Health.READY, slots, 0, 0, 0, WORKER_START_MICROS);
                 harness.dispatcher.list(harness.now, ListKind.INITIAL, List.of(fresh));
-                // A request every 5 ms at each dispatcher, served in the usual time.
+                // Each dispatcher gets a request every 5 ms, served in its usual time.
                 for (int i = 0; harness.now < WORKER_START_MICROS + WARM_UP_MICROS; i++) {
                     harness.advanceTo(harness.now + 5_000);
                     if (harness.request("r" + i) != null) {
@@ -298,7 +298,7 @@
     }
 
     @Test
-    void oddButLegalOrdersAreTolerated() {
+    void unusualButLegalEventOrdersAreTolerated() {
         DispatcherHarness harness =
                 new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)).withWorkers(4);
         Member again = DispatcherHarness.member("w0", Health.READY, 0, 0, harness.now);
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void identicalEventsGiveIdenticalActionsAloneOrBesideOthers() {
+    void identicalEventsGiveIdenticalActionsAloneOrBesideAnotherDispatcher() {
         List<String> alone =
                 runEvents(new DispatcherHarness(DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL)), null);
         Settings other = DispatcherHarness.settings(RepeatSafety.SAFE, DedupScope.ALL);
