--- a/src/main/java/barrowshore/module/DispatchApi.java
+++ b/src/main/java/barrowshore/module/DispatchApi.java
@@ -235,22 +235,28 @@
 
     void start(long now);
 
+    /** The worker list, its changes, or a failed call for it, according to kind. */
     void list(long now, ListKind kind, List<Member> entries);
 
+    /** A client's request; it ends by refuse, fail, an outcome with closed set, or clientGone. */
     void request(long now, Request request);
 
     /** An attempt has ended; closed: the request has ended too. load may be null. */
     void outcome(long now, String id, int attempt, boolean closed, Status status, long latency, Load load);
 
+    /** A worker's note on a running attempt; share: the part done, from 0 to 1, if it reports progress. */
     void note(long now, String id, int attempt, Note note, double share);
 
+    /** The client no longer waits for the request. */
     void clientGone(long now, String id);
 
+    /** A probe of the worker has ended; load may be null. */
     void probed(long now, String worker, Status status, long latency, Load load);
 
     /** A message of another dispatcher; messages may be late, repeated, reordered or lost. */
     void peerMessage(long now, int from, byte[] message);
 
+    /** A timer set by {@link Actions#setTimer} is due. */
     void timerFired(long now, String token);
 
     /** Applies changed rules on halls; null: none. Jobs in flight are left alone. */
--- a/src/main/java/barrowshore/module/Dispatcher.java
+++ b/src/main/java/barrowshore/module/Dispatcher.java
@@ -17,11 +17,9 @@
     private static final int REFRESH_PERIOD_TICKS = 16;
     /** Costs that differ by less than this share are a tie, broken at random. */
     private static final double TIE_SHARE = 0.05;
-    /**
-     * The index policy's reward R (Berten and Gaujal) for a job of mean worth: the longest wait to accept.
-     */
+    /** The index policy's reward R (Berten and Gaujal) for a job of mean worth: its longest accepted wait. */
     private static final double MAX_WAIT_MEAN_TARGETS = 2;
-    /** How long a worker that fails to connect gets no jobs at first. */
+    /** How long a worker that is silent or fails to connect gets no jobs, at its first strike. */
     static final double AVOIDANCE_CONNECT_TIMEOUTS = 4;
     /** Half-life of the fleet's load, in mean job times. */
     private static final double LOAD_HALF_LIFE_JOBS = 8;
--- a/src/main/java/barrowshore/module/FleetView.java
+++ b/src/main/java/barrowshore/module/FleetView.java
@@ -9,8 +9,8 @@
 import java.util.PriorityQueue;
 
 /**
- * One dispatcher's estimates of each worker's load, speed and waiting time, and of the fleet's; owned by {@link
- * Dispatcher}, which decides by them. Sums over the fleet are updated per worker, and a refresh visits only the
+ * One dispatcher's estimates of each worker's load, speed and waiting time, and of the fleet's; owned by
+ * {@link Dispatcher}, which decides by them. Sums over the fleet are updated per worker, and a refresh visits only the
  * workers with something due (a sign, the end of a job, a list entry) and a few others in turn, so that its cost does
  * not grow with the fleet.
  */
@@ -24,7 +24,9 @@
     private static final int DEFAULT_SLOTS = 4, MAX_SLOTS = 48;
     /** Length of an index table; no worker is given more jobs per slot. */
     private static final int TABLE_JOBS_PER_SLOT = 6;
-    /** Times the usual interval until a worker counts as silent; the largest share of ready workers that may. */
+    /**
+     * Expected intervals between signs until a worker counts as silent; the largest share of ready workers that may.
+     */
     private static final double SILENT_AFTER_SIGN_INTERVALS = 1.5, MAX_SILENT_SHARE = 0.4;
     /** How long a free worker may take to report a job's start. */
     private static final double START_CONNECT_TIMEOUTS = 2;
@@ -34,7 +36,7 @@
     private static final double LOAD_HALF_LIFE_JOBS = 8;
     /** Weight of a new report, which describes the past; half-life of reports, in half-lives of the load. */
     private static final double FRESH_REPORT_WEIGHT = 0.3, REPORT_HALF_LIFE_LOADS = 8;
-    /** Jobs that the kind's speed counts for beside a worker's own jobs: with work known by hints, and without. */
+    /** Weight, in jobs, of the kind's speed in a worker's: with work known by hints, and without. */
     private static final double KNOWN_WORK_PRIOR_JOBS = 3, UNKNOWN_WORK_PRIOR_JOBS = 9;
     /** Fleets up to this size are visited whole in each refresh; of larger ones, this many workers in turn. */
     private static final int SMALL_FLEET_WORKERS = 32, VISITS_IN_TURN = 6;
@@ -214,7 +216,7 @@
         openJobs.releaseEndedAbandoned(now, worker);
         peers.updateOwnSlots(worker);
         double keep = worker.contribution.ownSlotsDecay.nextKeepShare(now, LOAD_HALF_LIFE_JOBS * traffic.meanWork);
-        worker.usualOwnSlots = keep * worker.usualOwnSlots + (1 - keep) * (worker.ownSlots + worker.abandonedSlots);
+        worker.meanOwnSlots = keep * worker.meanOwnSlots + (1 - keep) * (worker.ownSlots + worker.abandonedSlots);
         boolean isSignDue = checkSigns(now, worker, jobsWithoutSign);
         worker.speed = worker.estimateSpeed(
                 kind.speed, traffic.meanWork, traffic.mostlyHinted ? KNOWN_WORK_PRIOR_JOBS : UNKNOWN_WORK_PRIOR_JOBS);
@@ -445,8 +447,8 @@
     }
 
     /**
-     * Slots that silent dispatchers are expected to hold there. They may not route as assumed, so the reported usual
-     * slots outweigh the level, and the last report adds a little for about the length of a job.
+     * Slots that silent dispatchers are expected to hold there. They may not route as assumed, so the mean of
+     * reported slots outweighs the level, and the last report adds a little for about the length of a job.
      */
     private double estimateOtherSlots(long now, Worker worker) {
         double levelSlots = worker.contribution.group == null ? 0 : worker.contribution.group.otherSlots;
@@ -456,7 +458,7 @@
         double age = now - worker.reportedAt,
                 reportWeight = FRESH_REPORT_WEIGHT * Math.pow(0.5, age / (2 * traffic.meanWork));
         double reportedSlots =
-                worker.usualOtherSlots + reportWeight * (worker.reportedOtherSlots - worker.usualOtherSlots);
+                worker.meanOtherSlots + reportWeight * (worker.reportedOtherSlots - worker.meanOtherSlots);
         return levelSlots
                 + Math.pow(0.5, age / (REPORT_HALF_LIFE_LOADS * LOAD_HALF_LIFE_JOBS * traffic.meanWork))
                         * (reportedSlots - levelSlots);
--- a/src/main/java/barrowshore/module/LoadReportReader.java
+++ b/src/main/java/barrowshore/module/LoadReportReader.java
@@ -23,14 +23,14 @@
 
     /**
      * Applies a report; one that tells neither in-flight jobs nor free slots is ignored. A report describes the past,
-     * so our usual slots are subtracted from it: with our current ones, the more jobs we had just sent, the emptier
+     * so our mean slots are subtracted from it: with our current ones, the more jobs we had just sent, the emptier
      * the worker would look, and it would get still more.
      */
     static void applyReport(long now, Worker worker, MachineKind kind, Load load, double slotsPerJob, double halfLife) {
         boolean tellsFreeSlots = load.freeSlots() >= 0, tellsInFlight = load.inFlight() >= 0;
         double queue = load.queue() >= 0 ? load.queue() : 0, otherSlots;
         if (tellsInFlight) {
-            otherSlots = load.inFlight() * slotsPerJob - worker.usualOwnSlots;
+            otherSlots = load.inFlight() * slotsPerJob - worker.meanOwnSlots;
             double running = load.inFlight() - queue;
             if (tellsFreeSlots && (load.queue() >= 0 || load.freeSlots() >= 0.5) || tellsFreeSlots && queue >= 1) {
                 // Without a queue figure, queued jobs count as in flight: only a free slot shows that there are none,
@@ -53,13 +53,13 @@
             kind.slots = kind.slots > 0 ? kind.slots : load.queue() >= 1 ? worker.slots : load.freeSlots() + running;
             kind.slots += Math.max(0, load.freeSlots() - kind.slots) * FREE_SLOTS_WEIGHT;
             learnSlots(kind, load.freeSlots() + running, FEWER_SLOTS_WEIGHT);
-            otherSlots = kind.slots - load.freeSlots() + queue * slotsPerJob - worker.usualOwnSlots;
+            otherSlots = kind.slots - load.freeSlots() + queue * slotsPerJob - worker.meanOwnSlots;
         } else {
             return;
         }
         worker.reportedOtherSlots = Math.max(0, otherSlots);
         double keep = worker.reportedAt > 0 ? Math.pow(0.5, (now - worker.reportedAt) / halfLife) : 0;
-        worker.usualOtherSlots = keep * worker.usualOtherSlots + (1 - keep) * worker.reportedOtherSlots;
+        worker.meanOtherSlots = keep * worker.meanOtherSlots + (1 - keep) * worker.reportedOtherSlots;
         worker.reportedAt = now;
     }
 }
--- a/src/main/java/barrowshore/module/OthersLoadEstimate.java
+++ b/src/main/java/barrowshore/module/OthersLoadEstimate.java
@@ -11,7 +11,7 @@
     /** Sums up to this are rounding errors left after all samples have been taken out. */
     private static final double ROUNDING_SLOTS = 1e-9;
 
-    /** One worker's slots; those covered by its report, and the others' usual slots, both discounted by its age. */
+    /** One worker's slots; those covered by its report, and the others' mean slots, both discounted by its age. */
     record Sample(double slots, double seenSlots, double otherSlots) {
         static final Sample NONE = new Sample(0, 0, 0);
 
@@ -21,7 +21,7 @@
                 return new Sample(worker.slots, 0, 0);
             }
             double freshness = Math.pow(0.5, (now - worker.reportedAt) / halfLife);
-            return new Sample(worker.slots, freshness * worker.slots, freshness * worker.usualOtherSlots);
+            return new Sample(worker.slots, freshness * worker.slots, freshness * worker.meanOtherSlots);
         }
     }
 
--- a/src/main/java/barrowshore/module/PeerSlotExchange.java
+++ b/src/main/java/barrowshore/module/PeerSlotExchange.java
@@ -53,7 +53,7 @@
         return takeChangedWorkers();
     }
 
-    /** Removes the slots told by peers that have become silent; returns the workers that this changed. */
+    /** Removes the slots of peers that have become silent; returns the workers that this changed. */
     List<Worker> expireSilentPeers(long now) {
         peerSlots.expireSilentPeers(now);
         return takeChangedWorkers();
--- a/src/main/java/barrowshore/module/Worker.java
+++ b/src/main/java/barrowshore/module/Worker.java
@@ -29,10 +29,10 @@
     double ownSlots, // of our open attempts
             abandonedSlots, // that cancelled or timed-out attempts of ours may still hold
             estimatedOtherSlots, // of silent dispatchers
-            peerSlots, // that the other dispatchers have told
+            peerSlots, // that the other dispatchers have reported in messages
             reportedOtherSlots, // of other dispatchers, by the last load report
-            usualOtherSlots, // decaying mean of the former
-            usualOwnSlots, // decaying mean of our own and abandoned slots
+            meanOtherSlots, // decaying mean of the former
+            meanOwnSlots, // decaying mean of our own and abandoned slots
             overdueMicros; // by which the most overdue job exceeds its expected running time
 
     final ArrayList<OpenJobs.AbandonedSlots> abandoned = new ArrayList<>(0);
@@ -144,7 +144,9 @@
         return coldBudget.allows(now, terms, id.hashCode(), budget, slotWork);
     }
 
-    /** Avoids it, twice as long per strike (capped); jittered so that dispatchers do not return in unison. */
+    /**
+     * Avoids it, twice as long at each strike in a row, capped; jittered so that dispatchers return apart.
+     */
     void recordStrike(long now, double baseMicros, Rng rng) {
         double avoidedMicros = baseMicros * (1 << Math.min(strikes++, 4)) * (0.5 + rng.next());
         downUntil = Math.max(downUntil, now + (long) avoidedMicros);
--- a/src/test/java/barrowshore/module/LoadReportReaderTest.java
+++ b/src/test/java/barrowshore/module/LoadReportReaderTest.java
@@ -40,7 +40,7 @@
         }
         assertThat(kind.slots).isCloseTo(5, within(0.5));
         assertThat(w.reportedOtherSlots).isCloseTo(7, within(0.5));
-        assertThat(w.usualOtherSlots).isBetween(3.0, 6.0);
+        assertThat(w.meanOtherSlots).isBetween(3.0, 6.0);
     }
 
     /**
--- a/src/test/java/barrowshore/module/OthersLoadEstimateTest.java
+++ b/src/test/java/barrowshore/module/OthersLoadEstimateTest.java
@@ -14,14 +14,14 @@
 
 /** The estimate of other dispatchers' slots in flight where they send no messages. */
 class OthersLoadEstimateTest {
-    private static Worker[] workers(int count, int reported, double usual, long at) {
+    private static Worker[] workers(int count, int reported, double meanOtherSlots, long at) {
         Worker[] workers = new Worker[count];
         for (int k = 0; k < count; k++) {
             workers[k] = new Worker("w" + k);
             workers[k].slots = 5;
             if (k < reported) {
                 workers[k].reportedAt = at;
-                workers[k].usualOtherSlots = usual;
+                workers[k].meanOtherSlots = meanOtherSlots;
             }
         }
         return workers;
