--- a/src/main/java/barrowshore/node/JobScheduler.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -56,143 +56,155 @@
 public final class JobScheduler {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.Node");
     /** One core: the selector's thread and a few to run messages while one of them is on the module. */
-    private static final int THREADS = 4;
+    private static final int POOL_THREADS = 4;
     /** Descriptors kept for the JVM, the listening socket, discovery and the selector. */
-    private static final int RESERVED = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /** Share of the other descriptors that goes to servers. */
-    private static final double OUTGOING = 0.4;
+    private static final double SERVER_DESCRIPTOR_SHARE = 0.4;
     /** Milliseconds after SIGTERM until the last new connections have come. */
-    private static final long SETTLE = 500;
+    private static final long SETTLE_MILLIS = 500;
     /**
      * After SIGTERM the process is let be for the longest deadline, or this where that is longer, and a little more;
      * at the end of that time, room to answer what cannot be done any more, and before it, room for a usual job.
      */
-    private static final long LONGEST_GRACE = 3000;
+    private static final long MAX_JOB_GRACE_MILLIS = 3000;
 
-    private static final long MORE_GRACE = 700;
-    private static final long LAST_WORD = 150;
-    private static final long USUAL_JOB = 800;
+    private static final long EXTRA_GRACE_MILLIS = 700;
+    private static final long FINAL_ANSWER_MILLIS = 150;
+    private static final long USUAL_JOB_MILLIS = 800;
     /** Milliseconds after SIGTERM before which the process does not end. */
-    private static final long STAY = 700;
+    private static final long MIN_SHUTDOWN_MILLIS = 700;
 
     /** How often is looked whether the configuration has changed, where no signal can tell. */
-    private static final long LOOK_MILLIS = 250;
+    private static final long CONFIG_POLL_MILLIS = 250;
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
+    private final ExecutorService pool = Executors.newFixedThreadPool(POOL_THREADS);
     private final Scheduler timers;
     private final ModuleActor module;
     private final ClientConnections clients;
-    private final ServiceDiscovery entry;
+    private final ServiceDiscovery discovery;
     /** Where discovery and a watched file come together; null: there is discovery alone. */
-    private final ListKeeper keeper;
+    private final ServerListActor serverList;
 
     private final PeerMessenger peers;
-    private final ConnectionManager dialer;
+    private final ConnectionManager connectionManager;
     /** Where clients are heard; a process that follows another opens it only when it can serve. */
-    private volatile ServerSocketChannel server;
+    private volatile ServerSocketChannel clientListener;
 
-    private final CompletableFuture<Void> open = new CompletableFuture<>();
+    private final CompletableFuture<Void> listening = new CompletableFuture<>();
     /** The other process of an upgrade; null: there can be none. */
-    private final Succession succession;
+    private final UpgradeCoordinator upgrade;
     /** Whether a process after us serves. */
-    private volatile boolean followed;
+    private volatile boolean successorServing;
     /** Descriptors that go to servers, and to clients, while there is one process; and a part of them, if two. */
-    private final int outgoing;
+    private final int serverDescriptors;
 
-    private final int incoming;
-    private boolean halved;
+    private final int clientDescriptors;
+    private boolean limitsShared;
     /** The operators' door; null: none. */
-    private final OpsServer ops;
+    private final OpsServer opsServer;
     /** Where we stand towards clients: set by orders from outside, read by the connections. */
-    private final AtomicReference<ServiceState> standing = new AtomicReference<>(ServiceState.SERVING);
+    private final AtomicReference<ServiceState> serviceState = new AtomicReference<>(ServiceState.SERVING);
     /** What is read again runs here, one file after the other. */
-    private final Mailbox configuration = new Mailbox("the configuration", pool);
+    private final Mailbox configMailbox = new Mailbox("the configuration", pool);
     /** As last taken over. */
     private volatile Config config;
     /** The operators' servers' file; null: none. */
-    private final OperatorSettings.ServersFileSettings servers;
+    private final OperatorSettings.ServersFileSettings serversFile;
     /** The rules on halls last taken over. */
-    private HallRules rules;
+    private HallRules hallRules;
 
     /** Starts a scheduler; the timers are started by the caller and stopped with the node. */
     JobScheduler(
-            SchedulerConfig setup,
+            SchedulerConfig schedulerConfig,
             Clock clock,
             Scheduler timers,
-            Path twin,
+            Path upgradeSocket,
             Function<DispatchApi.Actions, DispatchApi> newModule)
             throws Exception {
-        Config config = setup.config();
+        Config config = schedulerConfig.config();
         this.config = config;
-        this.rules = setup.hallRules();
-        this.servers = setup.operatorSettings().servers();
+        this.hallRules = schedulerConfig.hallRules();
+        this.serversFile = schedulerConfig.operatorSettings().servers();
         this.timers = timers;
-        int usable = config.sockets() - RESERVED - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
-        outgoing = (int) (usable * OUTGOING);
-        incoming = usable - outgoing;
-        dialer = new ConnectionManager(
-                pool, timers, outgoing, incoming, config.settings().connectTimeoutMicros / 1000, this::accepted);
+        int usableDescriptors =
+                config.sockets() - RESERVED_DESCRIPTORS - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
+        serverDescriptors = (int) (usableDescriptors * SERVER_DESCRIPTOR_SHARE);
+        clientDescriptors = usableDescriptors - serverDescriptors;
+        connectionManager = new ConnectionManager(
+                pool,
+                timers,
+                serverDescriptors,
+                clientDescriptors,
+                config.settings().connectTimeoutMicros / 1000,
+                this::acceptClient);
         module = new ModuleActor(
                 clock,
                 pool,
                 timers,
                 config.classes(),
                 config.settings().maxAttempts,
-                uid -> new Server(uid, pool, this.dialer, timers, config.keepAlive(), outgoing / 2),
-                this::tell,
+                uid -> new Server(uid, pool, this.connectionManager, timers, config.keepAlive(), serverDescriptors / 2),
+                this::broadcastToPeers,
                 newModule);
-        clients = new ClientConnections(config, clock, pool, timers, module, standing::get, mostClients(incoming));
-        keeper = setup.operatorSettings().servers() == null
+        clients = new ClientConnections(
+                config, clock, pool, timers, module, serviceState::get, maxClientConnections(clientDescriptors));
+        serverList = schedulerConfig.operatorSettings().servers() == null
                 ? null
-                : new ListKeeper(
-                        setup.operatorSettings().servers(), config.names(), clock, pool, timers, module::update);
-        entry = new ServiceDiscovery(
+                : new ServerListActor(
+                        schedulerConfig.operatorSettings().servers(),
+                        config.names(),
+                        clock,
+                        pool,
+                        timers,
+                        module::updateServers);
+        discovery = new ServiceDiscovery(
                 config.discovery(),
                 config.names(),
                 pool,
-                dialer,
+                connectionManager,
                 timers,
-                keeper == null ? module::update : keeper::discovered,
-                () -> module.discoverySilent(config.knownServers()),
+                serverList == null ? module::updateServers : serverList::applyDiscovery,
+                () -> module.useKnownServers(config.knownServers()),
                 config.knownServers(),
                 config.grace());
         peers = config.peers() == null
                 ? null
-                : new PeerMessenger(config.peers(), config.ops() != null, pool, clock, module::peer);
-        dialer.start();
+                : new PeerMessenger(config.peers(), config.ops() != null, pool, clock, module::receivePeerMessage);
+        connectionManager.start();
         module.start();
-        entry.open();
-        succession = twin == null ? null : new Succession(twin, pool, new Host());
-        if (succession != null && succession.follows()) {
-            shared(true);
+        discovery.open();
+        upgrade = upgradeSocket == null ? null : new UpgradeCoordinator(upgradeSocket, pool, new UpgradeHost());
+        if (upgrade != null && upgrade.hasPredecessor()) {
+            shareLimits(true);
             if (peers != null) {
                 peers.setQuiet(true);
             }
-            module.whenReady(this::openToClients);
+            module.runWhenReady(this::listenBesidePredecessor);
         } else {
             listenToClients();
         }
-        if (succession != null) {
-            succession.start();
+        if (upgrade != null) {
+            upgrade.start();
         }
         if (config.ops() == null) {
-            ops = null;
+            opsServer = null;
         } else {
             module.startPublishing();
-            ops = new OpsServer(listen(config.ops(), "ops", false), timers, new Door());
+            opsServer = new OpsServer(openListener(config.ops(), "ops", false), timers, new OpsControl());
         }
-        logStart(setup);
+        logStart(schedulerConfig);
     }
 
-    private void logStart(SchedulerConfig setup) {
+    private void logStart(SchedulerConfig schedulerConfig) {
         LOG.log(
                 Level.INFO,
                 config.summary()
-                        + (rules == null && servers == null
+                        + (hallRules == null && serversFile == null
                                 ? ""
-                                : "; " + setup.operatorSettings().summary()));
+                                : "; " + schedulerConfig.operatorSettings().summary()));
         // Once ready, since a start is short of processor time.
-        module.whenReady(() -> {
+        module.runWhenReady(() -> {
             List<String> unknown = config.unknownSettings();
             if (!unknown.isEmpty()) {
                 LOG.log(Level.WARNING, "settings not known here, and not heeded: {0}", String.join(", ", unknown));
@@ -206,133 +218,138 @@
         }
     }
 
-    private Connection accepted(EndPoint endPoint) {
+    private Connection acceptClient(EndPoint endPoint) {
         return clients.accept(endPoint);
     }
 
-    private void tell(byte[] message) {
+    private void broadcastToPeers(byte[] message) {
         if (peers != null) {
             peers.broadcast(message);
         }
     }
 
     private void listenToClients() throws IOException {
-        server = listen(config.listen(), "listen", succession != null);
-        dialer.listen(server);
-        open.complete(null);
+        clientListener = openListener(config.listen(), "listen", upgrade != null);
+        connectionManager.listen(clientListener);
+        listening.complete(null);
     }
 
     /** From now on new clients come to us as well as to the process before us, until that one ends. */
-    private void openToClients() {
+    private void listenBesidePredecessor() {
         try {
             listenToClients();
             if (peers != null) {
                 peers.setQuiet(false);
             }
-            succession.serving();
+            upgrade.announceServing();
         } catch (IOException | RuntimeException e) {
-            open.completeExceptionally(e);
+            listening.completeExceptionally(e);
         }
     }
 
-    private static int mostClients(int descriptors) {
+    private static int maxClientConnections(int descriptors) {
         return (int) (descriptors * 0.9);
     }
 
     /** What the scheduler has is for one process, or for two. */
-    private void shared(boolean two) {
-        if (two != halved) {
-            halved = two;
-            int sign = two ? -1 : 1, lessOut = outgoing - outgoing * 2 / 5, lessIn = incoming - incoming * 2 / 5;
-            dialer.addPermits(sign * lessOut, sign * lessIn);
-            clients.setMaxConnections(mostClients(two ? incoming - lessIn : incoming));
-            module.share(two ? 0.5 : 1);
+    private void shareLimits(boolean twoProcesses) {
+        if (twoProcesses != limitsShared) {
+            limitsShared = twoProcesses;
+            int sign = twoProcesses ? -1 : 1,
+                    serverCut = serverDescriptors - serverDescriptors * 2 / 5,
+                    clientCut = clientDescriptors - clientDescriptors * 2 / 5;
+            connectionManager.addPermits(sign * serverCut, sign * clientCut);
+            clients.setMaxConnections(
+                    maxClientConnections(twoProcesses ? clientDescriptors - clientCut : clientDescriptors));
+            module.setDispatcherShare(twoProcesses ? 0.5 : 1);
         }
     }
 
     /** What the other process of an upgrade moves here. */
-    private final class Host implements Succession.Host {
+    private final class UpgradeHost implements UpgradeCoordinator.Host {
         @Override
-        public ServiceState standing() {
-            return standing.get();
+        public ServiceState serviceState() {
+            return serviceState.get();
         }
 
         @Override
-        public void follow(boolean away) {
-            JobScheduler.this.away(away);
+        public void applyDrain(boolean drain) {
+            JobScheduler.this.applyDrain(drain);
         }
 
         @Override
-        public void shared(boolean two) {
-            JobScheduler.this.shared(two);
+        public void shareLimits(boolean twoProcesses) {
+            JobScheduler.this.shareLimits(twoProcesses);
         }
 
         @Override
-        public void followed(boolean serving) {
-            followed = serving;
+        public void setSuccessorServing(boolean serving) {
+            successorServing = serving;
         }
     }
 
     /** The operators' order, by whatever way it came; false: we are ending. */
-    private boolean away(boolean away) {
-        ServiceState now = standing.updateAndGet(away ? ServiceState::drain : ServiceState::activate);
-        if (!now.isEnding()) {
-            LOG.log(Level.INFO, away ? "operators send clients away" : "operators want clients back");
-            if (away) {
-                timers.schedule(() -> closeIdle(now, true), SETTLE, TimeUnit.MILLISECONDS);
+    private boolean applyDrain(boolean drain) {
+        ServiceState state = serviceState.updateAndGet(drain ? ServiceState::drain : ServiceState::activate);
+        if (!state.isEnding()) {
+            LOG.log(Level.INFO, drain ? "operators send clients away" : "operators want clients back");
+            if (drain) {
+                timers.schedule(() -> closeIdleRepeatedly(state, true), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
-        return !now.isEnding();
+        return !state.isEnding();
     }
 
-    private boolean ordered(boolean away) {
-        boolean done = away(away);
-        if (done && succession != null) {
-            succession.ordered(away);
+    private boolean orderDrain(boolean drain) {
+        boolean applied = applyDrain(drain);
+        if (applied && upgrade != null) {
+            upgrade.announceDrain(drain);
         }
-        return done;
+        return applied;
     }
 
     /** What operators may ask of it; all of it published values, so that no call waits for an actor. */
-    private final class Door implements OpsServer.SchedulerControl {
+    private final class OpsControl implements OpsServer.SchedulerControl {
         @Override
         public boolean isReady() {
-            return module.figures().ready() && open.isDone() && !standing.get().isEnding();
+            return module.metrics().ready()
+                    && listening.isDone()
+                    && !serviceState.get().isEnding();
         }
 
         @Override
         public SchedulerMetrics metrics() {
-            return module.figures();
+            return module.metrics();
         }
 
         @Override
         public boolean drain() {
-            return ordered(true);
+            return orderDrain(true);
         }
 
         @Override
         public boolean activate() {
-            return ordered(false);
+            return orderDrain(false);
         }
     }
 
     /** Again and again while clients are to leave: an answer may have been on its way as they were sent. */
-    private void closeIdle(ServiceState since, boolean first) {
-        if (standing.get().changeCount() == since.changeCount()) {
-            clients.closeIdle(first);
-            timers.schedule(() -> closeIdle(since, false), SETTLE, TimeUnit.MILLISECONDS);
+    private void closeIdleRepeatedly(ServiceState expectedState, boolean includeUnanswered) {
+        if (serviceState.get().changeCount() == expectedState.changeCount()) {
+            clients.closeIdle(includeUnanswered);
+            timers.schedule(() -> closeIdleRepeatedly(expectedState, false), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private static ServerSocketChannel listen(InetSocketAddress address, String field, boolean shared)
+    private static ServerSocketChannel openListener(InetSocketAddress address, String field, boolean sharedPort)
             throws IOException {
-        ServerSocketChannel server = ServerSocketChannel.open();
+        ServerSocketChannel listener = ServerSocketChannel.open();
         try {
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
-            return server.bind(address, 512);
+            listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            listener.setOption(StandardSocketOptions.SO_REUSEPORT, sharedPort);
+            return listener.bind(address, 512);
         } catch (IOException | RuntimeException e) {
-            server.close();
+            listener.close();
             throw new ConfigException(field + ": cannot listen on " + address + ": " + e.getMessage());
         }
     }
@@ -341,37 +358,37 @@
     public static void serve(ConfigFiles files) throws Exception {
         CompletableFuture<JobScheduler> started = new CompletableFuture<>();
         // Guards against the JVM's own way with SIGHUP, which is to end: in place before there is anything to end.
-        boolean signalled = onHangUp(() -> started.thenAccept(node -> node.reload(files::read)));
-        SchedulerConfig setup = files.read();
-        Config config = setup.config();
+        boolean hangUpHandled = handleHangUp(() -> started.thenAccept(scheduler -> scheduler.reload(files::read)));
+        SchedulerConfig schedulerConfig = files.read();
+        Config config = schedulerConfig.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
-        String folder = System.getenv("TMPDIR");
+        String tempFolder = System.getenv("TMPDIR");
         // In place before clients can come: a start that is told to end has taken what came while it was not yet done.
-        Runtime.getRuntime().addShutdownHook(new Thread(end(started, Runtime.getRuntime()::halt), "drain"));
-        JobScheduler node;
+        Runtime.getRuntime().addShutdownHook(new Thread(shutdownTask(started, Runtime.getRuntime()::halt), "drain"));
+        JobScheduler scheduler;
         try {
-            node = new JobScheduler(
-                    setup,
+            scheduler = new JobScheduler(
+                    schedulerConfig,
                     Clock.system(),
                     timers,
-                    config.ops() == null || folder == null || folder.isEmpty()
+                    config.ops() == null || tempFolder == null || tempFolder.isEmpty()
                             ? null
-                            : Path.of(folder, "barrowshore-" + config.name() + ".sock"),
+                            : Path.of(tempFolder, "barrowshore-" + config.name() + ".sock"),
                     actions -> new Dispatcher(config.settings(), actions));
         } catch (Exception | Error e) {
             started.completeExceptionally(e);
             throw e;
         }
-        started.complete(node);
-        if (!signalled) {
+        started.complete(scheduler);
+        if (!hangUpHandled) {
             LOG.log(
                     Level.WARNING,
                     "SIGHUP is ignored, as under nohup: the configuration is looked at now and then instead");
-            node.keepLooking(files);
+            scheduler.pollConfig(files);
         }
         try {
-            node.open.get();
+            scheduler.listening.get();
         } catch (ExecutionException e) {
             throw e.getCause() instanceof Exception cause ? cause : e;
         }
@@ -379,12 +396,13 @@
     }
 
     /** Ends a scheduler in good order, once it has started; one that never does leaves the end to whoever began it. */
-    static Runnable end(CompletableFuture<JobScheduler> started, IntConsumer halt) {
+    static Runnable shutdownTask(CompletableFuture<JobScheduler> started, IntConsumer halt) {
         return () -> {
             try {
-                JobScheduler node = started.get();
-                node.drain().await();
-                halt.accept(node.open.isCompletedExceptionally() ? 2 : 0); // no orderly end, if it never opened
+                JobScheduler scheduler = started.get();
+                scheduler.drain().await();
+                halt.accept(
+                        scheduler.listening.isCompletedExceptionally() ? 2 : 0); // no orderly end, if it never opened
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (ExecutionException e) {
@@ -394,41 +412,41 @@
     }
 
     /** Starts a scheduler inside another program, which stops it. */
-    public static JobScheduler start(SchedulerConfig setup) throws Exception {
+    public static JobScheduler start(SchedulerConfig schedulerConfig) throws Exception {
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
         return new JobScheduler(
-                setup,
+                schedulerConfig,
                 Clock.system(),
                 timers,
                 null,
-                actions -> new Dispatcher(setup.config().settings(), actions));
+                actions -> new Dispatcher(schedulerConfig.config().settings(), actions));
     }
 
     /** Where each hall stands with it, by number; empty where halls are off. */
     public CompletableFuture<List<HallState>> hallStates() {
-        CompletableFuture<List<HallState>> told = new CompletableFuture<>();
-        module.look(looked -> told.complete(looked.hallStates()));
-        return told;
+        CompletableFuture<List<HallState>> states = new CompletableFuture<>();
+        module.inspect(dispatcher -> states.complete(dispatcher.hallStates()));
+        return states;
     }
 
     /** Slots that its jobs hold in a hall other than its own. */
     public CompletableFuture<Double> spilledSlots(int hall) {
-        CompletableFuture<Double> told = new CompletableFuture<>();
-        module.look(looked -> told.complete(looked.spilledSlots(hall)));
-        return told;
+        CompletableFuture<Double> slots = new CompletableFuture<>();
+        module.inspect(dispatcher -> slots.complete(dispatcher.spilledSlots(hall)));
+        return slots;
     }
 
     /** Asks itself for a job of the first class over a socket, as a client would, and ends. */
-    public static void rehearse(SchedulerConfig setup) throws Exception {
-        Config config = setup.config();
+    public static void rehearse(SchedulerConfig schedulerConfig) throws Exception {
+        Config config = schedulerConfig.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
-        onHangUp(() -> {});
-        JobScheduler node = new JobScheduler(
-                setup, Clock.system(), timers, null, actions -> new Dispatcher(config.settings(), actions));
+        handleHangUp(() -> {});
+        JobScheduler scheduler = new JobScheduler(
+                schedulerConfig, Clock.system(), timers, null, actions -> new Dispatcher(config.settings(), actions));
         try (Socket client =
-                new Socket(config.listen().getAddress(), node.address().getPort())) {
+                new Socket(config.listen().getAddress(), scheduler.address().getPort())) {
             String name = config.classes().get(0);
             client.getOutputStream()
                     .write(("POST /" + name + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\n"
@@ -436,18 +454,18 @@
                                     + "Connection: close\r\n\r\nx")
                             .getBytes(StandardCharsets.ISO_8859_1));
             client.getInputStream().readAllBytes();
-            for (String call : node.ops == null
+            for (String call : scheduler.opsServer == null
                     ? new String[0]
                     : new String[] {"POST /v1/scheduler/drain", "POST /v1/scheduler/activate", "GET /v1/metrics"}) {
-                try (Socket operator =
-                        new Socket(config.ops().getAddress(), node.operators().getPort())) {
+                try (Socket operator = new Socket(
+                        config.ops().getAddress(), scheduler.opsAddress().getPort())) {
                     operator.getOutputStream()
                             .write((call + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
                     operator.getInputStream().readAllBytes();
                 }
             }
         } finally {
-            node.stop();
+            scheduler.stop();
         }
     }
 
@@ -456,20 +474,20 @@
      * reflection, since every direct use of this class is a warning that nothing silences. False: the signal was ignored
      * when the process started, and the JVM leaves it so.
      */
-    static boolean onHangUp(Runnable run) {
+    static boolean handleHangUp(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal"), handler = Class.forName("sun.misc.SignalHandler");
             Object proxy =
                     Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
                         if (method.getName().equals("handle")) {
-                            run.run();
+                            action.run();
                             return null;
                         }
-                        return method.invoke(run, args); // what every object can be asked
+                        return method.invoke(action, args); // what every object can be asked
                     });
-            Object former = signal.getMethod("handle", signal, handler)
+            Object previous = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
-            return former != handler.getField("SIG_IGN").get(null);
+            return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             LOG.log(Level.WARNING, "SIGHUP cannot be handled and will end the process", e);
             return false;
@@ -477,53 +495,56 @@
     }
 
     /** Stands in for a signal that cannot be heard: a file that has changed is read as if it had come. */
-    void lookAgain(ConfigFiles files) {
-        configuration.post(() -> {
+    void reloadIfChanged(ConfigFiles files) {
+        configMailbox.post(() -> {
             if (files.isConfigChanged()) {
-                module.loaded(takeOver(files::read));
+                module.countReload(applyConfig(files::read));
             }
         });
     }
 
-    private void keepLooking(ConfigFiles files) {
+    private void pollConfig(ConfigFiles files) {
         timers.schedule(
                 () -> {
-                    lookAgain(files);
-                    keepLooking(files);
+                    reloadIfChanged(files);
+                    pollConfig(files);
                 },
-                LOOK_MILLIS,
+                CONFIG_POLL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** Reads the configuration again and takes over what may change while requests are open; a bad one changes nothing. */
     void reload(Supplier<SchedulerConfig> source) {
-        configuration.post(() -> module.loaded(takeOver(source)));
+        configMailbox.post(() -> module.countReload(applyConfig(source)));
     }
 
-    private boolean takeOver(Supplier<SchedulerConfig> source) {
+    private boolean applyConfig(Supplier<SchedulerConfig> source) {
         try {
-            SchedulerConfig setup = source.get();
-            Config read = setup.config().asReloadOf(config);
-            LOG.log(Level.INFO, "configuration read again: discovery {0}", read.discovery());
-            List<String> later = config.fieldsNeedingRestart(setup.config());
-            if (!later.isEmpty()) {
-                LOG.log(Level.WARNING, "changed, but taken over only at a start: {0}", String.join(", ", later));
+            SchedulerConfig schedulerConfig = source.get();
+            Config newConfig = schedulerConfig.config().asReloadOf(config);
+            LOG.log(Level.INFO, "configuration read again: discovery {0}", newConfig.discovery());
+            List<String> needingRestart = config.fieldsNeedingRestart(schedulerConfig.config());
+            if (!needingRestart.isEmpty()) {
+                LOG.log(
+                        Level.WARNING,
+                        "changed, but taken over only at a start: {0}",
+                        String.join(", ", needingRestart));
             }
-            if (!Objects.equals(servers, setup.operatorSettings().servers())) {
+            if (!Objects.equals(serversFile, schedulerConfig.operatorSettings().servers())) {
                 LOG.log(Level.WARNING, "operators' settings: servers changed, but is taken over only at a start");
             }
-            module.settings(read.settings(), read.classes());
-            clients.updateSettings(read);
-            config = read;
-            entry.setGrace(read.grace());
-            entry.setAddress(read.discovery());
-            if (!Objects.equals(rules, setup.hallRules())) {
-                rules = setup.hallRules();
-                module.rules(rules);
+            module.changeSettings(newConfig.settings(), newConfig.classes());
+            clients.updateSettings(newConfig);
+            config = newConfig;
+            discovery.setGrace(newConfig.grace());
+            discovery.setAddress(newConfig.discovery());
+            if (!Objects.equals(hallRules, schedulerConfig.hallRules())) {
+                hallRules = schedulerConfig.hallRules();
+                module.changeHallRules(hallRules);
                 LOG.log(
                         Level.INFO,
                         "operators' settings read again: {0}",
-                        setup.operatorSettings().summary());
+                        schedulerConfig.operatorSettings().summary());
             }
             return true;
         } catch (ConfigException e) {
@@ -535,44 +556,44 @@
     /** Begins the end: all is answered and the clients are gone once the latch is down. */
     CountDownLatch drain() {
         CountDownLatch ended = new CountDownLatch(1);
-        AtomicInteger owed = new AtomicInteger(3);
-        Runnable done = () -> {
-            if (owed.decrementAndGet() == 0) {
-                lastCall(ended);
+        AtomicInteger pendingParts = new AtomicInteger(3);
+        Runnable partDone = () -> {
+            if (pendingParts.decrementAndGet() == 0) {
+                closeClientListener(ended);
             }
         };
-        standing.updateAndGet(ServiceState::end);
-        long deadline = Arrays.stream(config.settings().classes)
+        serviceState.updateAndGet(ServiceState::end);
+        long deadlineMillis = Arrays.stream(config.settings().classes)
                 .mapToLong(c -> c.deadlineMicros() / 1000)
                 .max()
                 .orElse(0);
-        long grace = Math.min(LONGEST_GRACE, deadline) + MORE_GRACE;
-        clients.scheduleEnd(grace - LAST_WORD);
-        module.endsIn(grace - LAST_WORD);
+        long graceMillis = Math.min(MAX_JOB_GRACE_MILLIS, deadlineMillis) + EXTRA_GRACE_MILLIS;
+        clients.scheduleEnd(graceMillis - FINAL_ANSWER_MILLIS);
+        module.scheduleFinalAnswers(graceMillis - FINAL_ANSWER_MILLIS);
         // Guards clients against a gap: schedulers restarted one after the other were once all closed to new
         // connections for 2 s. So the first one's clients go to the others in time, and the last one's stay.
-        Consumer<Boolean> release = othersServe -> timers.schedule(
+        Consumer<Boolean> releaseClients = othersServe -> timers.schedule(
                 () -> {
-                    closeIdle(standing.updateAndGet(ServiceState::closeConnections), true);
-                    clients.whenEmpty(done);
-                    module.whenIdle(done);
+                    closeIdleRepeatedly(serviceState.updateAndGet(ServiceState::closeConnections), true);
+                    clients.whenEmpty(partDone);
+                    module.runWhenIdle(partDone);
                 },
-                othersServe ? SETTLE : Math.max(SETTLE, grace - USUAL_JOB),
+                othersServe ? SETTLE_MILLIS : Math.max(SETTLE_MILLIS, graceMillis - USUAL_JOB_MILLIS),
                 TimeUnit.MILLISECONDS);
-        if (followed) {
+        if (successorServing) {
             // The process after us has our clients and speaks to our peers; what we have taken is ours to answer.
-            dialer.stopListening(server, () -> {});
+            connectionManager.stopListening(clientListener, () -> {});
             if (peers != null) {
                 peers.stopReceiving();
             }
-            standing.updateAndGet(ServiceState::closeConnections);
-            release.accept(true);
+            serviceState.updateAndGet(ServiceState::closeConnections);
+            releaseClients.accept(true);
         } else if (peers == null) {
-            release.accept(false);
+            releaseClients.accept(false);
         } else {
-            peers.announceEnd(release);
+            peers.announceEnd(releaseClients);
         }
-        timers.schedule(done, STAY, TimeUnit.MILLISECONDS);
+        timers.schedule(partDone, MIN_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
         return ended;
     }
 
@@ -580,53 +601,54 @@
      * Nothing is open any more, but as long as we listen somebody may have come since: the queue of those that wait to be
      * taken in is emptied before the socket is closed, and they get their answers too.
      */
-    private void lastCall(CountDownLatch ended) {
-        ServerSocketChannel listening = server;
-        if (listening == null || !listening.isOpen()) {
+    private void closeClientListener(CountDownLatch ended) {
+        ServerSocketChannel listener = clientListener;
+        if (listener == null || !listener.isOpen()) {
             ended.countDown();
         } else {
-            dialer.stopListening(listening, () -> dialer.whenClientsGone(() -> module.whenIdle(ended::countDown)));
+            connectionManager.stopListening(
+                    listener, () -> connectionManager.whenClientsGone(() -> module.runWhenIdle(ended::countDown)));
         }
     }
 
     /** Where it listens. */
     public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) server.getLocalAddress();
+        return (InetSocketAddress) clientListener.getLocalAddress();
     }
 
     /** Where it listens to operators. */
-    InetSocketAddress operators() throws IOException {
-        return ops.address();
+    InetSocketAddress opsAddress() throws IOException {
+        return opsServer.address();
     }
 
     /** Whether a process after this one serves. */
-    boolean isFollowed() {
-        return followed;
+    boolean isSuccessorServing() {
+        return successorServing;
     }
 
     /** Whether new clients may come to this process. */
-    boolean listens() {
-        return server != null && server.isOpen();
+    boolean isListening() {
+        return clientListener != null && clientListener.isOpen();
     }
 
     /** Stops at once; what is open is lost. */
     public void stop() throws IOException {
-        if (server != null) {
-            server.close();
+        if (clientListener != null) {
+            clientListener.close();
         }
-        if (succession != null) {
-            succession.stop();
+        if (upgrade != null) {
+            upgrade.stop();
         }
-        if (ops != null) {
-            ops.stop();
+        if (opsServer != null) {
+            opsServer.stop();
         }
-        if (keeper != null) {
-            keeper.stop();
+        if (serverList != null) {
+            serverList.stop();
         }
         if (peers != null) {
             peers.stop();
         }
-        LifeCycle.stop(dialer);
+        LifeCycle.stop(connectionManager);
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
--- a/src/main/java/barrowshore/node/ModuleActor.java
+++ b/src/main/java/barrowshore/node/ModuleActor.java
@@ -39,61 +39,61 @@
 final class ModuleActor implements DispatchApi.Actions, JobRequest.RequestHandler {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.ModuleActor");
     /** A probe that has told nothing by then tells nothing of the present any more. */
-    private static final long PROBE_MILLIS = 1000;
+    private static final long PROBE_TIMEOUT_MILLIS = 1000;
 
     /** When one that is turned down as the process ends may come again, in microseconds: others take new ones at once. */
-    private static final long LAST_DELAY = 100_000;
+    private static final long SHUTDOWN_RETRY_AFTER_MICROS = 100_000;
 
     /** Ids of served requests kept: a minute or so at the usual load. */
-    private static final int MOST_SERVED = 2048;
+    private static final int MAX_SERVED_IDS = 2048;
 
     /** How often is counted anew what changes without an event. */
-    private static final long PUBLISH_MILLIS = 100;
+    private static final long PUBLISH_INTERVAL_MILLIS = 100;
 
     private final Clock clock;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final Function<String, Server> newServer;
     private final DispatchApi module;
-    private final Consumer<byte[]> tell;
+    private final Consumer<byte[]> peerSender;
     private final Map<String, OpenRequest> requests = new HashMap<>();
     private final Map<String, Server> servers = new HashMap<>();
-    private final Set<String> listed = new HashSet<>();
+    private final Set<String> listedServers = new HashSet<>();
     /** Ids of requests lately served, oldest first: an id is new with every request, so these are taken too. */
-    private final Set<String> served = new LinkedHashSet<>();
+    private final Set<String> servedIds = new LinkedHashSet<>();
 
-    private int mostAttempts;
-    private final SchedulerCounters tally = new SchedulerCounters();
+    private int maxAttempts;
+    private final SchedulerCounters counters = new SchedulerCounters();
     /** Figures as of the last change, for whoever reads them; written here alone. */
-    private volatile SchedulerMetrics figures = SchedulerMetrics.NONE;
+    private volatile SchedulerMetrics metrics = SchedulerMetrics.NONE;
 
     private boolean publishing;
-    private int openRequests;
-    private int skipped;
+    private int openRequestCount;
+    private int skippedServerCount;
     /** Those listed that want nothing new. */
-    private final Set<String> draining = new HashSet<>();
+    private final Set<String> terminatingServers = new HashSet<>();
 
-    private final List<Runnable> whenReady = new ArrayList<>();
-    private final List<Runnable> whenIdle = new ArrayList<>();
-    private boolean told;
-    private long lastNow;
+    private final List<Runnable> readyListeners = new ArrayList<>();
+    private final List<Runnable> idleListeners = new ArrayList<>();
+    private boolean listReceived;
+    private long lastMicros;
 
     ModuleActor(
             Clock clock,
             Executor pool,
             Scheduler timers,
             List<String> classes,
-            int mostAttempts,
+            int maxAttempts,
             Function<String, Server> newServer,
-            Consumer<byte[]> tell,
+            Consumer<byte[]> peerSender,
             Function<DispatchApi.Actions, DispatchApi> newModule) {
         this.clock = clock;
         this.timers = timers;
         this.newServer = newServer;
-        this.mostAttempts = mostAttempts;
-        this.tell = tell;
+        this.maxAttempts = maxAttempts;
+        this.peerSender = peerSender;
         this.mailbox = new Mailbox("the module", pool);
-        tally.setClasses(classes);
+        counters.setClasses(classes);
         this.module = newModule.apply(this);
     }
 
@@ -102,8 +102,8 @@
         final JobRequest request;
         final JobRequest.Client client;
         final List<Attempt> attempts = new ArrayList<>(2);
-        Scheduler.Task timer;
-        int out;
+        Scheduler.Task deadlineTimer;
+        int pendingAttempts;
         /** Written by the actor alone; read by servers, as they are about to begin an attempt. */
         volatile boolean answered;
 
@@ -115,41 +115,41 @@
 
     /** One attempt: what the server reports comes back here, through the mailbox. */
     private final class Attempt implements Server.Attempt {
-        final OpenRequest open;
+        final OpenRequest openRequest;
         final int number;
         final Server server;
-        final long sentAt;
+        final long sentMicros;
         /** When its first byte must have gone, by the window of an earlier one that may have run. */
-        final long beginBy;
+        final long startByMicros;
 
-        Scheduler.Task timer;
+        Scheduler.Task timeoutTimer;
         /** Written by the actor alone; read by its server, as it is about to begin. */
         volatile boolean ended;
 
         boolean neverRan;
 
-        Attempt(OpenRequest open, int number, Server server, long sentAt) {
-            this.open = open;
+        Attempt(OpenRequest openRequest, int number, Server server, long sentMicros) {
+            this.openRequest = openRequest;
             this.number = number;
             this.server = server;
-            this.sentAt = sentAt;
-            long by = Long.MAX_VALUE;
-            for (Attempt earlier : open.attempts) {
-                if (!earlier.neverRan && open.request.repeatWindowMicros() != JobRequest.NO_REPEAT_LIMIT) {
-                    by = Math.min(by, earlier.sentAt + open.request.repeatWindowMicros());
+            this.sentMicros = sentMicros;
+            long earliest = Long.MAX_VALUE;
+            for (Attempt earlier : openRequest.attempts) {
+                if (!earlier.neverRan && openRequest.request.repeatWindowMicros() != JobRequest.NO_REPEAT_LIMIT) {
+                    earliest = Math.min(earliest, earlier.sentMicros + openRequest.request.repeatWindowMicros());
                 }
             }
-            this.beginBy = by;
+            this.startByMicros = earliest;
         }
 
         @Override
         public JobRequest request() {
-            return open.request;
+            return openRequest.request;
         }
 
         @Override
         public long timeLeftMicros() {
-            return open.request.deadlineMicros() - clock.micros();
+            return openRequest.request.deadlineMicros() - clock.micros();
         }
 
         @Override
@@ -157,19 +157,19 @@
             long now = clock.micros();
             // What the actor knows may wait for its turn at the server: an end since counts from the moment it is
             // known.
-            boolean awaited = !ended && !open.answered && !open.client.isGone();
-            return awaited && now < beginBy && now < open.request.deadlineMicros();
+            boolean stillWanted = !ended && !openRequest.answered && !openRequest.client.isGone();
+            return stillWanted && now < startByMicros && now < openRequest.request.deadlineMicros();
         }
 
         @Override
         public void checkClient(Runnable then) {
-            open.client.checkConnection(then);
+            openRequest.client.checkConnection(then);
         }
 
         @Override
         public void requestWritten() {
             mailbox.post(() -> {
-                tally.countAttempt();
+                counters.countAttempt();
                 publish();
             });
         }
@@ -178,14 +178,15 @@
         public void noteReceived(Note note, double share) {
             mailbox.post(() -> {
                 if (!ended) {
-                    guarded(open, () -> module.note(now(), open.request.id(), number, note, share));
+                    callModule(
+                            openRequest, () -> module.note(nowMicros(), openRequest.request.id(), number, note, share));
                 }
             });
         }
 
         @Override
         public void ended(Status status, Load load, byte[] result) {
-            mailbox.post(() -> conclude(this, status, load, result));
+            mailbox.post(() -> finishAttempt(this, status, load, result));
         }
     }
 
@@ -193,7 +194,7 @@
 
     void start() {
         mailbox.post(() -> {
-            guarded(null, () -> module.start(now()));
+            callModule(null, () -> module.start(nowMicros()));
         });
     }
 
@@ -201,64 +202,64 @@
      * Discovery has told no list for long enough, or has nothing against the list known from before: that has to do. How
      * long is enough, {@link barrowshore.servers.ServiceDiscovery} decides.
      */
-    void discoverySilent(ServerList.Update known) {
+    void useKnownServers(ServerList.Update known) {
         mailbox.post(() -> {
-            if (!told) {
-                list(known, ListKind.INITIAL);
-                told = !listed.isEmpty();
-                tellIfReady();
+            if (!listReceived) {
+                applyList(known, ListKind.INITIAL);
+                listReceived = !listedServers.isEmpty();
+                notifyIfReady();
             }
         });
     }
 
-    void update(ServerList.Update update) {
+    void updateServers(ServerList.Update update) {
         mailbox.post(() -> {
-            list(update, update.full() ? ListKind.WHOLE : ListKind.CHANGES);
-            told = true;
-            tellIfReady();
+            applyList(update, update.full() ? ListKind.WHOLE : ListKind.CHANGES);
+            listReceived = true;
+            notifyIfReady();
             publish();
         });
     }
 
     /** Other settings from now on, with the names of their classes by number. */
-    void settings(Settings next, List<String> classes) {
+    void changeSettings(Settings next, List<String> classes) {
         mailbox.post(() -> {
-            mostAttempts = next.maxAttempts;
-            tally.setClasses(classes);
-            guarded(null, () -> module.changeSettings(now(), next));
+            maxAttempts = next.maxAttempts;
+            counters.setClasses(classes);
+            callModule(null, () -> module.changeSettings(nowMicros(), next));
             publish();
         });
     }
 
     /** The operators' rules on halls have changed. */
-    void rules(HallRules rules) {
-        mailbox.post(() -> guarded(null, () -> module.changeHallRules(now(), rules)));
+    void changeHallRules(HallRules rules) {
+        mailbox.post(() -> callModule(null, () -> module.changeHallRules(nowMicros(), rules)));
     }
 
     /** Which part of what is due to this scheduler is this process's. */
-    void share(double part) {
-        mailbox.post(() -> guarded(null, () -> module.setDispatcherShare(part)));
+    void setDispatcherShare(double share) {
+        mailbox.post(() -> callModule(null, () -> module.setDispatcherShare(share)));
     }
 
     /** Shows the module to one who only looks. */
-    void look(Consumer<DispatchApi> looker) {
-        mailbox.post(() -> looker.accept(module));
+    void inspect(Consumer<DispatchApi> reader) {
+        mailbox.post(() -> reader.accept(module));
     }
 
     /** Another scheduler has told us something. */
-    void peer(int from, byte[] message) {
-        mailbox.post(() -> guarded(null, () -> module.peerMessage(now(), from, message)));
+    void receivePeerMessage(int from, byte[] message) {
+        mailbox.post(() -> callModule(null, () -> module.peerMessage(nowMicros(), from, message)));
     }
 
     /** The figures as of the last change; may be asked from anywhere. */
-    SchedulerMetrics figures() {
-        return figures;
+    SchedulerMetrics metrics() {
+        return metrics;
     }
 
     /** A changed file was taken over, or turned down. */
-    void loaded(boolean taken) {
+    void countReload(boolean applied) {
         mailbox.post(() -> {
-            tally.countReload(taken);
+            counters.countReload(applied);
             publish();
         });
     }
@@ -266,7 +267,7 @@
     @Override
     public void countTurnedAway(int jobClass) {
         mailbox.post(() -> {
-            tally.countOutcome(jobClass, SchedulerCounters.Outcome.DROPPED);
+            counters.countOutcome(jobClass, SchedulerCounters.Outcome.DROPPED);
             publish();
         });
     }
@@ -275,49 +276,49 @@
     void startPublishing() {
         mailbox.post(() -> {
             publishing = true;
-            republish();
+            publishPeriodically();
         });
     }
 
     private void publish() {
         if (publishing) {
-            figures = tally.snapshot(told, openRequests, listed.size(), skipped);
+            metrics = counters.snapshot(listReceived, openRequestCount, listedServers.size(), skippedServerCount);
         }
     }
 
     /** What ages without an event, as which servers are avoided, is looked at now and then. */
-    private void republish() {
-        guarded(null, () -> skipped = draining.size() + module.countAvoided(now()));
+    private void publishPeriodically() {
+        callModule(null, () -> skippedServerCount = terminatingServers.size() + module.countAvoided(nowMicros()));
         publish();
-        timers.schedule(() -> mailbox.post(this::republish), PUBLISH_MILLIS, TimeUnit.MILLISECONDS);
+        timers.schedule(() -> mailbox.post(this::publishPeriodically), PUBLISH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Answers whether the list has come and the tables are built. */
     @Override
     public void askReady(Consumer<Boolean> asker) {
-        mailbox.post(() -> asker.accept(told));
+        mailbox.post(() -> asker.accept(listReceived));
     }
 
     /** Runs the message once requests can be served. */
-    void whenReady(Runnable message) {
+    void runWhenReady(Runnable message) {
         mailbox.post(() -> {
-            whenReady.add(message);
-            tellIfReady();
+            readyListeners.add(message);
+            notifyIfReady();
         });
     }
 
-    private void tellIfReady() {
-        if (told) {
-            whenReady.forEach(Runnable::run);
-            whenReady.clear();
+    private void notifyIfReady() {
+        if (listReceived) {
+            readyListeners.forEach(Runnable::run);
+            readyListeners.clear();
         }
         publish();
     }
 
     /** Answers every open request that is not answered by so many milliseconds from now: the process ends after that. */
-    void endsIn(long millis) {
+    void scheduleFinalAnswers(long millis) {
         timers.schedule(
-                () -> mailbox.post(() -> List.copyOf(requests.values()).forEach(this::lastWord)),
+                () -> mailbox.post(() -> List.copyOf(requests.values()).forEach(this::answerBeforeExit)),
                 millis,
                 TimeUnit.MILLISECONDS);
     }
@@ -326,41 +327,45 @@
      * The process ends before the request's time is up: it is answered first, since the module, told that its attempts are
      * over, would send it again. What cannot have run, or may run again, others can do.
      */
-    private void lastWord(OpenRequest open) {
-        if (!open.answered) {
-            boolean harmless = open.request.repeatWindowMicros() == JobRequest.NO_REPEAT_LIMIT
-                    || open.attempts.stream().allMatch(a -> a.neverRan);
-            answer(open, harmless ? new JobRequest.Rejection(LAST_DELAY) : new JobRequest.Failed(false));
-            guarded(open, () -> module.clientGone(now(), open.request.id()));
-            List.copyOf(open.attempts).forEach(a -> giveUp(a, Status.TIMEOUT));
-            forget(open);
+    private void answerBeforeExit(OpenRequest openRequest) {
+        if (!openRequest.answered) {
+            boolean mayRetry = openRequest.request.repeatWindowMicros() == JobRequest.NO_REPEAT_LIMIT
+                    || openRequest.attempts.stream().allMatch(attempt -> attempt.neverRan);
+            answer(
+                    openRequest,
+                    mayRetry ? new JobRequest.Rejection(SHUTDOWN_RETRY_AFTER_MICROS) : new JobRequest.Failed(false));
+            callModule(openRequest, () -> module.clientGone(nowMicros(), openRequest.request.id()));
+            List.copyOf(openRequest.attempts).forEach(attempt -> abandonAttempt(attempt, Status.TIMEOUT));
+            forgetIfFinished(openRequest);
         }
     }
 
     /** Runs the message once no request is open. */
-    void whenIdle(Runnable message) {
+    void runWhenIdle(Runnable message) {
         mailbox.post(() -> {
-            whenIdle.add(message);
-            tellIfIdle();
+            idleListeners.add(message);
+            notifyIfIdle();
         });
     }
 
     @Override
     public void submit(JobRequest request, JobRequest.Client client) {
         mailbox.post(() -> {
-            if (requests.containsKey(request.id()) || served.contains(request.id())) {
+            if (requests.containsKey(request.id()) || servedIds.contains(request.id())) {
                 client.answer(new JobRequest.IdInUse("the id is in use"));
                 return;
             }
-            OpenRequest open = new OpenRequest(request, client);
-            requests.put(request.id(), open);
-            openRequests++;
+            OpenRequest openRequest = new OpenRequest(request, client);
+            requests.put(request.id(), openRequest);
+            openRequestCount++;
             publish();
-            long now = now();
-            open.timer = timers.schedule(
-                    () -> mailbox.post(() -> expire(open)), request.deadlineMicros() - now, TimeUnit.MICROSECONDS);
-            guarded(
-                    open,
+            long now = nowMicros();
+            openRequest.deadlineTimer = timers.schedule(
+                    () -> mailbox.post(() -> expireRequest(openRequest)),
+                    request.deadlineMicros() - now,
+                    TimeUnit.MICROSECONDS);
+            callModule(
+                    openRequest,
                     () -> module.request(
                             now,
                             new Request(
@@ -376,207 +381,220 @@
     @Override
     public void clientGone(JobRequest request) {
         mailbox.post(() -> {
-            OpenRequest open = requests.get(request.id());
-            if (open != null && open.request == request) {
-                leave(open);
+            OpenRequest openRequest = requests.get(request.id());
+            if (openRequest != null && openRequest.request == request) {
+                closeAbandoned(openRequest);
             }
         });
     }
 
     /** The client waits no more: nothing that has not begun is to begin. */
-    private void leave(OpenRequest open) {
-        if (!open.answered) {
-            close(open);
-            guarded(open, () -> module.clientGone(now(), open.request.id()));
-            forget(open);
+    private void closeAbandoned(OpenRequest openRequest) {
+        if (!openRequest.answered) {
+            markAnswered(openRequest);
+            callModule(openRequest, () -> module.clientGone(nowMicros(), openRequest.request.id()));
+            forgetIfFinished(openRequest);
         }
     }
 
-    private long now() {
-        lastNow = Math.max(lastNow, clock.micros());
-        return lastNow;
+    private long nowMicros() {
+        lastMicros = Math.max(lastMicros, clock.micros());
+        return lastMicros;
     }
 
-    private void list(ServerList.Update update, ListKind kind) {
+    private void applyList(ServerList.Update update, ListKind kind) {
         List<Member> members = new ArrayList<>();
         Set<String> named = new HashSet<>();
-        for (ServerList.Entry e : update.entries()) {
-            named.add(e.uid());
-            servers.computeIfAbsent(e.uid(), newServer).update(e);
-            members.add(e.toMember());
+        for (ServerList.Entry entry : update.entries()) {
+            named.add(entry.uid());
+            servers.computeIfAbsent(entry.uid(), newServer).update(entry);
+            members.add(entry.toMember());
         }
         if (kind != ListKind.CHANGES) {
-            listed.stream().filter(uid -> !named.contains(uid)).forEach(uid -> servers.get(uid)
+            listedServers.stream().filter(uid -> !named.contains(uid)).forEach(uid -> servers.get(uid)
                     .unlisted());
-            listed.retainAll(named);
+            listedServers.retainAll(named);
         }
-        update.entries().forEach(e -> {
-            if (e.state() == ServerList.State.GONE) {
-                listed.remove(e.uid());
+        update.entries().forEach(entry -> {
+            if (entry.state() == ServerList.State.GONE) {
+                listedServers.remove(entry.uid());
             } else {
-                listed.add(e.uid());
+                listedServers.add(entry.uid());
             }
-            if (e.state() == ServerList.State.TERMINATING) {
-                draining.add(e.uid());
+            if (entry.state() == ServerList.State.TERMINATING) {
+                terminatingServers.add(entry.uid());
             } else {
-                draining.remove(e.uid());
+                terminatingServers.remove(entry.uid());
             }
         });
-        draining.retainAll(listed);
-        guarded(null, () -> module.list(now(), kind, members));
+        terminatingServers.retainAll(listedServers);
+        callModule(null, () -> module.list(nowMicros(), kind, members));
     }
 
     /** The time of a request is up: its attempts time out, and if the module has no answer it gets ours. */
-    private void expire(OpenRequest open) {
-        if (open.answered) {
+    private void expireRequest(OpenRequest openRequest) {
+        if (openRequest.answered) {
             return;
         }
-        for (Attempt a : List.copyOf(open.attempts)) {
-            giveUp(a, Status.TIMEOUT);
+        for (Attempt attempt : List.copyOf(openRequest.attempts)) {
+            abandonAttempt(attempt, Status.TIMEOUT);
         }
-        if (!open.answered) {
+        if (!openRequest.answered) {
             // Guards against a module that fell silent: the client still waits, and a rule is at stake.
-            answer(open, new JobRequest.Failed(true));
-            guarded(open, () -> module.clientGone(now(), open.request.id()));
-            forget(open);
+            answer(openRequest, new JobRequest.Failed(true));
+            callModule(openRequest, () -> module.clientGone(nowMicros(), openRequest.request.id()));
+            forgetIfFinished(openRequest);
         }
     }
 
     /** Stops waiting for an attempt; one that was never sent has no server to tell. */
-    private void giveUp(Attempt a, Status status) {
-        if (!a.ended) {
-            if (a.server != null) {
-                a.server.abandon(a);
+    private void abandonAttempt(Attempt attempt, Status status) {
+        if (!attempt.ended) {
+            if (attempt.server != null) {
+                attempt.server.abandon(attempt);
             }
-            conclude(a, status, null, null);
+            finishAttempt(attempt, status, null, null);
         }
     }
 
-    private void conclude(Attempt a, Status status, Load load, byte[] result) {
-        if (a.ended) {
+    private void finishAttempt(Attempt attempt, Status status, Load load, byte[] result) {
+        if (attempt.ended) {
             return;
         }
-        a.ended = true;
-        a.neverRan = status.neverRan();
-        if (a.timer != null) {
-            a.timer.cancel();
-        }
-        OpenRequest open = a.open;
-        if (open.client.isGone()) {
-            leave(open); // before the module hears of the end, and repeats what nobody waits for
-        }
-        open.out--;
-        if (status == Status.OK && !open.answered) {
-            answer(open, new JobRequest.Served(result));
-            served.add(open.request.id());
-            if (served.size() > MOST_SERVED) {
-                served.remove(served.iterator().next());
+        attempt.ended = true;
+        attempt.neverRan = status.neverRan();
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel();
+        }
+        OpenRequest openRequest = attempt.openRequest;
+        if (openRequest.client.isGone()) {
+            closeAbandoned(openRequest); // before the module hears of the end, and repeats what nobody waits for
+        }
+        openRequest.pendingAttempts--;
+        if (status == Status.OK && !openRequest.answered) {
+            answer(openRequest, new JobRequest.Served(result));
+            servedIds.add(openRequest.request.id());
+            if (servedIds.size() > MAX_SERVED_IDS) {
+                servedIds.remove(servedIds.iterator().next());
             }
         }
-        long now = now();
-        boolean closed = open.answered;
-        guarded(open, () -> module.outcome(now, open.request.id(), a.number, closed, status, now - a.sentAt, load));
-        forget(open);
+        long now = nowMicros();
+        boolean answeredBefore = openRequest.answered;
+        callModule(
+                openRequest,
+                () -> module.outcome(
+                        now,
+                        openRequest.request.id(),
+                        attempt.number,
+                        answeredBefore,
+                        status,
+                        now - attempt.sentMicros,
+                        load));
+        forgetIfFinished(openRequest);
     }
 
     /** Runs a call of the module; an exception in it costs at most the request that it was about. */
-    private void guarded(OpenRequest open, Runnable call) {
+    private void callModule(OpenRequest openRequest, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
             LOG.log(Level.ERROR, "the module failed", e);
-            if (open != null && !open.answered && open.out == 0) {
-                answer(open, new JobRequest.Failed(false));
-                forget(open);
+            if (openRequest != null && !openRequest.answered && openRequest.pendingAttempts == 0) {
+                answer(openRequest, new JobRequest.Failed(false));
+                forgetIfFinished(openRequest);
             }
         }
     }
 
-    private void close(OpenRequest open) {
-        open.answered = true;
+    private void markAnswered(OpenRequest openRequest) {
+        openRequest.answered = true;
         // Whether or not the settings let attempts be called off: one that has not begun is not to begin any more.
-        open.attempts.stream().filter(a -> !a.ended && a.server != null).forEach(a -> a.server.cancelIfUnsent(a));
-        openRequests--;
-        open.timer.cancel();
+        openRequest.attempts.stream()
+                .filter(attempt -> !attempt.ended && attempt.server != null)
+                .forEach(attempt -> attempt.server.cancelIfUnsent(attempt));
+        openRequestCount--;
+        openRequest.deadlineTimer.cancel();
         publish();
     }
 
-    private void answer(OpenRequest open, JobRequest.Answer answer) {
-        if (!open.answered) {
-            tally.countOutcome(
-                    open.request.jobClass(),
+    private void answer(OpenRequest openRequest, JobRequest.Answer answer) {
+        if (!openRequest.answered) {
+            counters.countOutcome(
+                    openRequest.request.jobClass(),
                     answer instanceof JobRequest.Served
                             ? SchedulerCounters.Outcome.PASSED
                             : answer instanceof JobRequest.Rejection
                                     ? SchedulerCounters.Outcome.DROPPED
                                     : SchedulerCounters.Outcome.BAD_GATEWAY);
-            close(open);
-            open.client.answer(answer);
+            markAnswered(openRequest);
+            openRequest.client.answer(answer);
         }
     }
 
-    private void forget(OpenRequest open) {
-        if (open.answered && open.out == 0) {
-            requests.remove(open.request.id(), open);
-            tellIfIdle();
+    private void forgetIfFinished(OpenRequest openRequest) {
+        if (openRequest.answered && openRequest.pendingAttempts == 0) {
+            requests.remove(openRequest.request.id(), openRequest);
+            notifyIfIdle();
         }
     }
 
-    private void tellIfIdle() {
-        if (!whenIdle.isEmpty() && requests.values().stream().allMatch(open -> open.answered)) {
-            whenIdle.forEach(Runnable::run);
-            whenIdle.clear();
+    private void notifyIfIdle() {
+        if (!idleListeners.isEmpty() && requests.values().stream().allMatch(openRequest -> openRequest.answered)) {
+            idleListeners.forEach(Runnable::run);
+            idleListeners.clear();
         }
     }
 
     // What the module orders.
 
     @Override
-    public void send(String id, String worker, long timeout) {
-        OpenRequest open = requests.get(id);
+    public void send(String id, String worker, long timeoutMicros) {
+        OpenRequest openRequest = requests.get(id);
         Server server = servers.get(worker);
-        if (open == null) {
+        if (openRequest == null) {
             LOG.log(Level.ERROR, "the module sent request {0}, which is not open", id);
             return;
         }
-        Attempt a = new Attempt(open, open.attempts.size(), server, now());
-        open.attempts.add(a);
-        open.out++;
-        if (server == null || open.answered || open.attempts.size() > mostAttempts) {
-            a.ended(Status.NOT_SENT, null, null);
+        Attempt attempt = new Attempt(openRequest, openRequest.attempts.size(), server, nowMicros());
+        openRequest.attempts.add(attempt);
+        openRequest.pendingAttempts++;
+        if (server == null || openRequest.answered || openRequest.attempts.size() > maxAttempts) {
+            attempt.ended(Status.NOT_SENT, null, null);
             return;
         }
-        if (timeout > 0) {
-            a.timer = timers.schedule(
-                    () -> mailbox.post(() -> giveUp(a, Status.TIMEOUT)), timeout, TimeUnit.MICROSECONDS);
+        if (timeoutMicros > 0) {
+            attempt.timeoutTimer = timers.schedule(
+                    () -> mailbox.post(() -> abandonAttempt(attempt, Status.TIMEOUT)),
+                    timeoutMicros,
+                    TimeUnit.MICROSECONDS);
         }
-        server.send(a);
+        server.send(attempt);
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
-        decided(id, new JobRequest.Rejection(retryAfter));
+    public void refuse(String id, long retryAfterMicros) {
+        answerById(id, new JobRequest.Rejection(retryAfterMicros));
     }
 
     @Override
     public void fail(String id) {
-        decided(id, new JobRequest.Failed(false));
+        answerById(id, new JobRequest.Failed(false));
     }
 
-    private void decided(String id, JobRequest.Answer answer) {
-        OpenRequest open = requests.get(id);
-        if (open != null) {
-            answer(open, answer);
-            forget(open);
+    private void answerById(String id, JobRequest.Answer answer) {
+        OpenRequest openRequest = requests.get(id);
+        if (openRequest != null) {
+            answer(openRequest, answer);
+            forgetIfFinished(openRequest);
         }
     }
 
     @Override
     public void cancel(String id, int attempt) {
-        OpenRequest open = requests.get(id);
-        if (open != null && attempt >= 0 && attempt < open.attempts.size()) {
+        OpenRequest openRequest = requests.get(id);
+        if (openRequest != null && attempt >= 0 && attempt < openRequest.attempts.size()) {
             // After the call that orders it: the module is not told of an end while it is at work on another.
-            mailbox.post(() -> giveUp(open.attempts.get(attempt), Status.CANCELLED));
+            mailbox.post(() -> abandonAttempt(openRequest.attempts.get(attempt), Status.CANCELLED));
         }
     }
 
@@ -584,26 +602,26 @@
     public void probe(String worker) {
         Server server = servers.get(worker);
         if (server != null) {
-            long sentAt = now();
+            long sentMicros = nowMicros();
             server.probe(
-                    PROBE_MILLIS,
+                    PROBE_TIMEOUT_MILLIS,
                     (status, load) -> mailbox.post(() -> {
-                        long now = now();
-                        guarded(null, () -> module.probed(now, worker, status, now - sentAt, load));
+                        long now = nowMicros();
+                        callModule(null, () -> module.probed(now, worker, status, now - sentMicros, load));
                     }));
         }
     }
 
     @Override
     public void sendToPeers(byte[] message) {
-        tell.accept(message);
+        peerSender.accept(message);
     }
 
     @Override
-    public void setTimer(long delay, String token) {
+    public void setTimer(long delayMicros, String token) {
         timers.schedule(
-                () -> mailbox.post(() -> guarded(null, () -> module.timerFired(now(), token))),
-                Math.max(1, delay),
+                () -> mailbox.post(() -> callModule(null, () -> module.timerFired(nowMicros(), token))),
+                Math.max(1, delayMicros),
                 TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/barrowshore/node/ListKeeper.java
+++ b/src/main/java/barrowshore/node/ServerListActor.java
@@ -21,26 +21,26 @@
  * {@link ServerListMerger}, the watch of the file and the timer of graces. What wins, the book decides; it must never
  * tell the module half of what a source said at once.
  */
-final class ListKeeper {
+final class ServerListActor {
     private static final String DISCOVERY = "discovery", FILE = "file";
 
-    private final ServerListMerger book = new ServerListMerger();
+    private final ServerListMerger merger = new ServerListMerger();
     private final Clock clock;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final Consumer<Update> listener;
-    private final WatchedFile file;
+    private final WatchedFile watchedFile;
     /**
      * When a server was first named by the file: it counts as started then, unless it is said to be warm. What the
      * first file names was there before us, as far as anybody knows.
      */
-    private final Map<String, Long> firstNamed = new HashMap<>();
+    private final Map<String, Long> firstListedMicros = new HashMap<>();
 
-    private boolean filled;
-    private boolean told;
+    private boolean fileRead;
+    private boolean listSent;
 
-    ListKeeper(
-            OperatorSettings.ServersFileSettings rules,
+    ServerListActor(
+            OperatorSettings.ServersFileSettings settings,
             ZoneKindNames names,
             Clock clock,
             Executor pool,
@@ -50,21 +50,22 @@
         this.timers = timers;
         this.listener = listener;
         this.mailbox = new Mailbox("the list", pool);
-        book.addSource(DISCOVERY, rules.fileOverridesDiscovery() ? 2 : 1, 0);
-        book.addSource(FILE, rules.fileOverridesDiscovery() ? 1 : 2, 0);
-        this.file = new WatchedFile(
-                rules.file(),
-                rules.maxLostShare(),
-                rules.keyDirectory() == null ? null : new FileSigner(rules.keyDirectory()),
+        merger.addSource(DISCOVERY, settings.fileOverridesDiscovery() ? 2 : 1, 0);
+        merger.addSource(FILE, settings.fileOverridesDiscovery() ? 1 : 2, 0);
+        this.watchedFile = new WatchedFile(
+                settings.file(),
+                settings.maxLostShare(),
+                settings.keyDirectory() == null ? null : new FileSigner(settings.keyDirectory()),
                 pool,
                 timers,
-                next -> {
+                list -> {
                     try {
-                        long now = filled ? clock.micros() : 0;
-                        Update update = next.toUpdate(names, s -> firstNamed.computeIfAbsent(s.uid(), uid -> now));
-                        filled = true;
-                        firstNamed.keySet().retainAll(next.servers().keySet());
-                        mailbox.post(() -> say(FILE, update, next));
+                        long now = fileRead ? clock.micros() : 0;
+                        Update update = list.toUpdate(
+                                names, server -> firstListedMicros.computeIfAbsent(server.uid(), uid -> now));
+                        fileRead = true;
+                        firstListedMicros.keySet().retainAll(list.servers().keySet());
+                        mailbox.post(() -> applyFile(FILE, update, list));
                         return null;
                     } catch (RuntimeException e) {
                         return e; // its names do not fit the configuration
@@ -73,33 +74,33 @@
     }
 
     /** Discovery has told a list or a change of it. */
-    void discovered(Update update) {
-        mailbox.post(() -> tell(book.apply(clock.micros(), DISCOVERY, update)));
+    void applyDiscovery(Update update) {
+        mailbox.post(() -> notifyListener(merger.apply(clock.micros(), DISCOVERY, update)));
     }
 
-    private void say(String source, Update update, OperatorServerList from) {
-        book.setGrace(source, from.grace());
-        tell(book.apply(clock.micros(), source, update));
+    private void applyFile(String source, Update update, OperatorServerList list) {
+        merger.setGrace(source, list.grace());
+        notifyListener(merger.apply(clock.micros(), source, update));
     }
 
     /** The first word replaces what was known from before; then changes do. */
-    private void tell(Update changes) {
-        if (!told) {
-            told = true;
-            listener.accept(book.currentList());
+    private void notifyListener(Update changes) {
+        if (!listSent) {
+            listSent = true;
+            listener.accept(merger.currentList());
         } else if (!changes.entries().isEmpty()) {
             listener.accept(changes);
         }
-        long next = book.nextExpiry();
-        if (next != Long.MAX_VALUE) {
+        long nextExpiry = merger.nextExpiry();
+        if (nextExpiry != Long.MAX_VALUE) {
             timers.schedule(
-                    () -> mailbox.post(() -> tell(book.expireGraces(clock.micros()))),
-                    Math.max(1, next - clock.micros()),
+                    () -> mailbox.post(() -> notifyListener(merger.expireGraces(clock.micros()))),
+                    Math.max(1, nextExpiry - clock.micros()),
                     TimeUnit.MICROSECONDS);
         }
     }
 
     void stop() {
-        file.stop();
+        watchedFile.stop();
     }
 }
--- a/src/main/java/barrowshore/node/Succession.java
+++ b/src/main/java/barrowshore/node/UpgradeCoordinator.java
@@ -11,73 +11,73 @@
  * may use of what the scheduler has, and what the later one is told. It owns the twin's link and nothing else; all of it
  * runs in the twin's mailbox. It must never make a process wait for the other.
  */
-final class Succession implements UpgradeLink.Listener {
+final class UpgradeCoordinator implements UpgradeLink.Listener {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.Succession");
     private static final String AWAY = "away", BACK = "back", SERVING = "serving";
 
     /** What it moves in its own process. */
     interface Host {
-        ServiceState standing();
+        ServiceState serviceState();
 
         /** The operators' order came by the other process. */
-        void follow(boolean away);
+        void applyDrain(boolean drain);
 
         /** Whether there are two processes that share what the scheduler has. */
-        void shared(boolean two);
+        void shareLimits(boolean twoProcesses);
 
         /** Whether the process after us serves. */
-        void followed(boolean serving);
+        void setSuccessorServing(boolean serving);
     }
 
     private final Host host;
-    private final UpgradeLink twin;
-    private boolean beforeThere;
-    private boolean afterThere;
+    private final UpgradeLink link;
+    private boolean predecessorAlive;
+    private boolean successorAlive;
 
-    Succession(Path file, Executor pool, Host host) {
+    UpgradeCoordinator(Path socketFile, Executor pool, Host host) {
         this.host = host;
-        this.twin = new UpgradeLink(file, pool, this);
-        this.beforeThere = twin.foundPredecessor();
+        this.link = new UpgradeLink(socketFile, pool, this);
+        this.predecessorAlive = link.foundPredecessor();
     }
 
     /** Whether this process follows another that is still there. */
-    boolean follows() {
-        return twin.foundPredecessor();
+    boolean hasPredecessor() {
+        return link.foundPredecessor();
     }
 
     void start() {
-        twin.start();
+        link.start();
     }
 
     /** We listen to clients from now on. */
-    void serving() {
-        twin.send(true, SERVING);
+    void announceServing() {
+        link.send(true, SERVING);
     }
 
     /** The operators' order came by us. */
-    void ordered(boolean away) {
-        twin.send(true, away ? AWAY : BACK);
-        twin.send(false, away ? AWAY : BACK);
+    void announceDrain(boolean drain) {
+        link.send(true, drain ? AWAY : BACK);
+        link.send(false, drain ? AWAY : BACK);
     }
 
     @Override
     public void successorConnected() {
         LOG.log(Level.INFO, "a new version has come up beside this one");
-        afterThere = true;
-        host.shared(true);
-        if (!host.standing().acceptsClients()) {
-            twin.send(false, AWAY);
+        successorAlive = true;
+        host.shareLimits(true);
+        if (!host.serviceState().acceptsClients()) {
+            link.send(false, AWAY);
         }
     }
 
     @Override
-    public void lineReceived(boolean before, String line) {
+    public void lineReceived(boolean fromPredecessor, String line) {
         switch (line.split(" ", 2)[0]) {
-            case AWAY -> host.follow(true);
-            case BACK -> host.follow(false);
+            case AWAY -> host.applyDrain(true);
+            case BACK -> host.applyDrain(false);
             case SERVING -> {
-                if (!before) {
-                    host.followed(true);
+                if (!fromPredecessor) {
+                    host.setSuccessorServing(true);
                 }
             }
             default -> {} // a later version may say more
@@ -85,19 +85,19 @@
     }
 
     @Override
-    public void linkClosed(boolean before) {
+    public void linkClosed(boolean toPredecessor) {
         LOG.log(
                 Level.INFO,
-                before ? "the version before this one has ended" : "the new version beside this one has ended");
-        beforeThere &= !before;
-        afterThere &= before;
-        host.shared(beforeThere || afterThere);
-        if (!before) {
-            host.followed(false);
+                toPredecessor ? "the version before this one has ended" : "the new version beside this one has ended");
+        predecessorAlive &= !toPredecessor;
+        successorAlive &= toPredecessor;
+        host.shareLimits(predecessorAlive || successorAlive);
+        if (!toPredecessor) {
+            host.setSuccessorServing(false);
         }
     }
 
     void stop() {
-        twin.stop();
+        link.stop();
     }
 }
--- a/src/test/java/barrowshore/node/ClientGoneTest.java
+++ b/src/test/java/barrowshore/node/ClientGoneTest.java
@@ -67,46 +67,47 @@
 class ClientGoneTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     /** The delays by which the script's timers are known among all others, in microseconds. */
-    private static final long SECOND_COPY = 77_777;
+    private static final long SECOND_COPY_DELAY_MICROS = 77_777;
 
-    private static final long ATTEMPT_LIMIT = 88_888;
+    private static final long ATTEMPT_LIMIT_MICROS = 88_888;
 
-    private static final int CLIENTS = 10;
-    private static final int ONE = 0;
-    private static final int TWO = 1;
+    private static final int MAX_CLIENTS = 10;
+    private static final int FIRST_WORKER = 0;
+    private static final int SECOND_WORKER = 1;
 
-    private enum Way {
+    private enum LeaveMode {
         CLOSE,
-        END_OF_SENDING,
+        HALF_CLOSE,
         RESET
     }
 
     /** How a client leaves; noticed: its connection's actor has heard of it, else the selector has yet to look. */
-    private record Departure(Way way, boolean noticed) {}
+    private record Departure(LeaveMode mode, boolean detected) {}
 
     static Stream<Departure> departures() {
-        return Stream.of(Way.values()).flatMap(way -> Stream.of(new Departure(way, true), new Departure(way, false)));
+        return Stream.of(LeaveMode.values())
+                .flatMap(mode -> Stream.of(new Departure(mode, true), new Departure(mode, false)));
     }
 
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     private final ScriptTimers timers = new ScriptTimers();
     private final Clock clock = new Clock(1_700_000_000_000L, () -> 0);
-    private final HeldExecutor moduleTurns = new HeldExecutor();
-    private final HeldExecutor clientTurns = new HeldExecutor();
-    private final HeldExecutor[] serverTurns = {new HeldExecutor(), new HeldExecutor()};
-    private final ConnectionManager[] dialers = new ConnectionManager[2];
-    private final ServerSocket[] listening = new ServerSocket[2];
+    private final HeldExecutor moduleExecutor = new HeldExecutor();
+    private final HeldExecutor clientExecutor = new HeldExecutor();
+    private final HeldExecutor[] serverExecutors = {new HeldExecutor(), new HeldExecutor()};
+    private final ConnectionManager[] serverConnections = new ConnectionManager[2];
+    private final ServerSocket[] workerListeners = new ServerSocket[2];
     private final BlockingQueue<EndPoint> accepted = new LinkedBlockingQueue<>();
-    private final RecordingDesk desk = new RecordingDesk();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final RecordingHandler requestHandler = new RecordingHandler();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     /** Ids of requests that the module was told have ended with an attempt, or before; and of those that have not. */
-    private final List<String> toldClosed = new CopyOnWriteArrayList<>();
+    private final List<String> outcomesAfterClose = new CopyOnWriteArrayList<>();
 
-    private final List<String> toldOpen = new CopyOnWriteArrayList<>();
+    private final List<String> outcomesWhileOpen = new CopyOnWriteArrayList<>();
 
-    private ServerSocketChannel entrance;
-    private ConnectionManager clientDialer;
-    private ClientConnections clientSide;
+    private ServerSocketChannel clientListener;
+    private ConnectionManager clientConnectionManager;
+    private ClientConnections clientConnections;
     private ModuleActor module;
 
     /** Timers that never run by themselves; those that the script sets are kept. */
@@ -116,9 +117,9 @@
 
         @Override
         public Task schedule(Runnable run, long delay, TimeUnit unit) {
-            if (unit.toMicros(delay) == SECOND_COPY) {
+            if (unit.toMicros(delay) == SECOND_COPY_DELAY_MICROS) {
                 secondCopies.add(run);
-            } else if (unit.toMicros(delay) == ATTEMPT_LIMIT) {
+            } else if (unit.toMicros(delay) == ATTEMPT_LIMIT_MICROS) {
                 attemptLimits.add(run);
             }
             return () -> true;
@@ -127,7 +128,7 @@
 
     /** Runs an actor's turns in the poster's thread; while it is held they are kept for whoever releases it. */
     private static final class HeldExecutor implements Executor {
-        private final Queue<Runnable> kept = new ArrayDeque<>();
+        private final Queue<Runnable> waiting = new ArrayDeque<>();
         private boolean held;
         private int running;
 
@@ -135,7 +136,7 @@
         public void execute(Runnable turn) {
             synchronized (this) {
                 if (held) {
-                    kept.add(turn);
+                    waiting.add(turn);
                     notifyAll();
                     return;
                 }
@@ -156,19 +157,19 @@
         }
 
         /** Returns once no turn is under way. */
-        synchronized void awaitQuiet() throws InterruptedException {
+        synchronized void awaitIdle() throws InterruptedException {
             while (running > 0) {
                 wait();
             }
         }
 
         synchronized void hold() throws InterruptedException {
-            awaitQuiet();
+            awaitIdle();
             held = true;
         }
 
-        synchronized void awaitMessage() throws InterruptedException {
-            while (kept.isEmpty()) {
+        synchronized void awaitWaitingTurn() throws InterruptedException {
+            while (waiting.isEmpty()) {
                 wait();
             }
         }
@@ -177,8 +178,8 @@
             List<Runnable> due;
             synchronized (this) {
                 held = false;
-                due = List.copyOf(kept);
-                kept.clear();
+                due = List.copyOf(waiting);
+                waiting.clear();
                 running += due.size();
             }
             due.forEach(this::run);
@@ -186,20 +187,20 @@
     }
 
     /** Hands on to the module's actor, and counts what it has handed on. */
-    private final class RecordingDesk implements JobRequest.RequestHandler {
-        final Semaphore opened = new Semaphore(0);
-        final Semaphore gone = new Semaphore(0);
+    private final class RecordingHandler implements JobRequest.RequestHandler {
+        final Semaphore submittedCount = new Semaphore(0);
+        final Semaphore goneCount = new Semaphore(0);
 
         @Override
         public void submit(JobRequest request, JobRequest.Client client) {
             module.submit(request, client);
-            opened.release();
+            submittedCount.release();
         }
 
         @Override
         public void clientGone(JobRequest request) {
             module.clientGone(request);
-            gone.release();
+            goneCount.release();
         }
 
         @Override
@@ -212,37 +213,37 @@
     }
 
     /** A client with one request under way. */
-    private static final class Caller implements AutoCloseable {
+    private static final class WaitingClient implements AutoCloseable {
         final Socket socket;
-        final EndPoint atOurs;
+        final EndPoint schedulerEnd;
 
-        Caller(Socket socket, EndPoint atOurs) {
+        WaitingClient(Socket socket, EndPoint schedulerEnd) {
             this.socket = socket;
-            this.atOurs = atOurs;
+            this.schedulerEnd = schedulerEnd;
         }
 
-        void leave(Way way) throws IOException {
-            switch (way) {
+        void leave(LeaveMode mode) throws IOException {
+            switch (mode) {
                 case CLOSE -> socket.close();
-                case END_OF_SENDING -> socket.shutdownOutput();
+                case HALF_CLOSE -> socket.shutdownOutput();
                 case RESET -> {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 }
-                default -> throw new IllegalArgumentException("no such way: " + way);
+                default -> throw new IllegalArgumentException("no such way: " + mode);
             }
         }
 
         /** Waits until its connection's actor has read all and waits for the selector. */
         void awaitAllRead() {
-            while (!atOurs.isFillInterested()) {
+            while (!schedulerEnd.isFillInterested()) {
                 Thread.onSpinWait();
             }
         }
 
         /** Waits until its end is in our socket, which it has nothing else to read from. */
         void awaitEndInSocket() throws IOException {
-            SocketChannel channel = ((SocketChannelEndPoint) atOurs).getChannel();
+            SocketChannel channel = ((SocketChannelEndPoint) schedulerEnd).getChannel();
             try (Selector selector = Selector.open()) {
                 channel.register(selector, SelectionKey.OP_READ);
                 selector.select();
@@ -260,59 +261,66 @@
         timers.start();
         List<ServerList.Entry> entries = new ArrayList<>();
         for (int k = 0; k < 2; k++) {
-            dialers[k] = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
-            dialers[k].start();
-            listening[k] = new ServerSocket(0, 10, LOOPBACK);
-            InetSocketAddress address = (InetSocketAddress) listening[k].getLocalSocketAddress();
+            serverConnections[k] = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
+            serverConnections[k].start();
+            workerListeners[k] = new ServerSocket(0, 10, LOOPBACK);
+            InetSocketAddress address = (InetSocketAddress) workerListeners[k].getLocalSocketAddress();
             entries.add(new ServerList.Entry("s-" + (k + 1), "", address, 0, 0, 0, ServerList.State.READY, 1, 0));
         }
         Config config = Config.parse(Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replace("$D", "127.0.0.1:9")
                 .replace("$S", "127.0.0.1:9"));
         module = new ModuleActor(
-                clock, moduleTurns, timers, config.classes(), 5, this::server, message -> {}, this::script);
+                clock,
+                moduleExecutor,
+                timers,
+                config.classes(),
+                5,
+                this::newServer,
+                message -> {},
+                this::scriptedModule);
         module.start();
-        module.update(new ServerList.Update(1, true, entries));
-        clientSide =
-                new ClientConnections(config, clock, clientTurns, timers, desk, () -> ServiceState.SERVING, CLIENTS);
-        clientDialer = new ConnectionManager(pool, timers, 1, CLIENTS, 10_000, this::accept);
-        clientDialer.start();
-        entrance = ServerSocketChannel.open();
-        entrance.bind(new InetSocketAddress(LOOPBACK, 0), CLIENTS);
-        clientDialer.listen(entrance);
+        module.updateServers(new ServerList.Update(1, true, entries));
+        clientConnections = new ClientConnections(
+                config, clock, clientExecutor, timers, requestHandler, () -> ServiceState.SERVING, MAX_CLIENTS);
+        clientConnectionManager = new ConnectionManager(pool, timers, 1, MAX_CLIENTS, 10_000, this::acceptClient);
+        clientConnectionManager.start();
+        clientListener = ServerSocketChannel.open();
+        clientListener.bind(new InetSocketAddress(LOOPBACK, 0), MAX_CLIENTS);
+        clientConnectionManager.listen(clientListener);
     }
 
     @AfterEach
     void stop() throws Exception {
-        for (int k = open.size() - 1; k >= 0; k--) {
-            open.get(k).close();
+        for (int k = resources.size() - 1; k >= 0; k--) {
+            resources.get(k).close();
         }
-        entrance.close();
-        LifeCycle.stop(clientDialer);
+        clientListener.close();
+        LifeCycle.stop(clientConnectionManager);
         for (int k = 0; k < 2; k++) {
-            listening[k].close();
-            LifeCycle.stop(dialers[k]);
+            workerListeners[k].close();
+            LifeCycle.stop(serverConnections[k]);
         }
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
 
     /** One connection each, so that what comes next shows what came before. */
-    private Server server(String uid) {
-        int k = uid.equals("s-1") ? ONE : TWO;
-        return new Server(uid, serverTurns[k], dialers[k], timers, 60_000_000, 1);
+    private Server newServer(String uid) {
+        int k = uid.equals("s-1") ? FIRST_WORKER : SECOND_WORKER;
+        return new Server(uid, serverExecutors[k], serverConnections[k], timers, 60_000_000, 1);
     }
 
-    private Connection accept(EndPoint endPoint) {
+    private Connection acceptClient(EndPoint endPoint) {
         accepted.add(endPoint);
-        return clientSide.accept(endPoint);
+        return clientConnections.accept(endPoint);
     }
 
     /**
      * A module that sends each request to the server that its id begins with, repeats at the second what has failed, and
      * sends a second copy there, whose time is limited, where the id says so.
      */
-    private DispatchApi script(Actions actions) {
+    private DispatchApi scriptedModule(Actions actions) {
         return (DispatchApi) Proxy.newProxyInstance(
                 DispatchApi.class.getClassLoader(), new Class<?>[] {DispatchApi.class}, (proxy, method, arguments) -> {
                     switch (method.getName()) {
@@ -320,24 +328,24 @@
                             String id = ((DispatchApi.Request) arguments[1]).id();
                             actions.send(id, id.startsWith("one") ? "s-1" : "s-2", 0);
                             if (id.contains("copied")) {
-                                actions.setTimer(SECOND_COPY, id);
+                                actions.setTimer(SECOND_COPY_DELAY_MICROS, id);
                             }
                         }
                         case "outcome" -> {
                             String id = (String) arguments[1];
                             Status status = (Status) arguments[4];
                             if ((boolean) arguments[3]) {
-                                toldClosed.add(id);
+                                outcomesAfterClose.add(id);
                                 return null;
                             }
-                            toldOpen.add(id);
+                            outcomesWhileOpen.add(id);
                             if (status == Status.ERROR) {
                                 actions.send(id, "s-2", 0);
                             } else if (status != Status.TIMEOUT) {
                                 actions.fail(id);
                             }
                         }
-                        case "timerFired" -> actions.send((String) arguments[1], "s-2", ATTEMPT_LIMIT);
+                        case "timerFired" -> actions.send((String) arguments[1], "s-2", ATTEMPT_LIMIT_MICROS);
                         default -> {}
                     }
                     return null;
@@ -345,51 +353,51 @@
     }
 
     /** A client whose request has been handed on. */
-    private Caller call(String id) throws Exception {
-        Socket socket = new Socket(LOOPBACK, entrance.socket().getLocalPort());
-        open.add(socket);
+    private WaitingClient openClient(String id) throws Exception {
+        Socket socket = new Socket(LOOPBACK, clientListener.socket().getLocalPort());
+        resources.add(socket);
         socket.getOutputStream()
                 .write(("POST /menu HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id
                                 + "\r\nX-Priority-Class: menu\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 4000\r\n"
                                 + "Content-Length: 1\r\n\r\na")
                         .getBytes(StandardCharsets.ISO_8859_1));
-        Caller caller = new Caller(socket, accepted.take());
-        desk.opened.acquire();
-        caller.awaitAllRead();
-        return caller;
+        WaitingClient client = new WaitingClient(socket, accepted.take());
+        requestHandler.submittedCount.acquire();
+        client.awaitAllRead();
+        return client;
     }
 
     /** All of them leave; returns once that is known as far as it is to be. */
-    private void leave(Departure departure, List<Caller> callers) throws Exception {
-        if (!departure.noticed()) {
-            open.add(new HeldSelector(clientDialer));
+    private void leaveAll(Departure departure, List<WaitingClient> clients) throws Exception {
+        if (!departure.detected()) {
+            resources.add(new HeldSelector(clientConnectionManager));
         }
-        for (Caller caller : callers) {
-            caller.leave(departure.way());
+        for (WaitingClient client : clients) {
+            client.leave(departure.mode());
         }
-        if (departure.noticed()) {
-            desk.gone.acquire(callers.size());
+        if (departure.detected()) {
+            requestHandler.goneCount.acquire(clients.size());
             return;
         }
-        for (Caller caller : callers) {
-            caller.awaitEndInSocket();
+        for (WaitingClient client : clients) {
+            client.awaitEndInSocket();
         }
     }
 
-    private HeldSelector holdConnectionsTo(int server) throws InterruptedException {
-        HeldSelector held = new HeldSelector(dialers[server]);
-        open.add(held);
+    private HeldSelector holdConnectionsToWorker(int server) throws InterruptedException {
+        HeldSelector held = new HeldSelector(serverConnections[server]);
+        resources.add(held);
         return held;
     }
 
-    private Socket acceptAt(int server) throws IOException {
-        Socket worker = listening[server].accept();
-        open.add(worker);
+    private Socket acceptAtWorker(int server) throws IOException {
+        Socket worker = workerListeners[server].accept();
+        resources.add(worker);
         return worker;
     }
 
     /** The head of the next request; its body is read too. */
-    private static String nextRequest(Socket worker) throws IOException {
+    private static String readRequest(Socket worker) throws IOException {
         InputStream in = worker.getInputStream();
         String head = HttpText.head(in);
         in.read();
@@ -405,7 +413,7 @@
         reply(worker, "HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line);
     }
 
-    private JobRequest direct(String id) {
+    private JobRequest idempotentRequest(String id) {
         return new JobRequest(
                 id,
                 0,
@@ -421,14 +429,14 @@
     }
 
     /** A connection to the second worker that stands idle, ready to carry the next attempt at once. */
-    private Socket idleConnection() throws Exception {
+    private Socket openIdleConnection() throws Exception {
         CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-        module.submit(direct("two-before"), answer::complete);
-        Socket worker = acceptAt(TWO);
-        assertThat(nextRequest(worker)).contains("X-Request-ID: two-before");
+        module.submit(idempotentRequest("two-before"), answer::complete);
+        Socket worker = acceptAtWorker(SECOND_WORKER);
+        assertThat(readRequest(worker)).contains("X-Request-ID: two-before");
         replyDone(worker, "two-before");
         assertThat(answer.get()).isInstanceOf(JobRequest.Served.class);
-        serverTurns[TWO].awaitQuiet();
+        serverExecutors[SECOND_WORKER].awaitIdle();
         return worker;
     }
 
@@ -436,161 +444,161 @@
      * The worker's one connection carries a request of those whose client has gone, or else one of these. They are sent one
      * after the other, each once the one before was turned down: a mailbox that is never empty would run in its own stack.
      */
-    private void assertNothingBeganBeforeTheNext(String server, Socket worker) throws IOException {
+    private void assertNextAttemptIsOfALaterRequest(String server, Socket worker) throws IOException {
         for (int k = 0; worker.getInputStream().available() == 0; k++) {
             CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-            module.submit(direct(server + "-next" + k), answer::complete);
+            module.submit(idempotentRequest(server + "-next" + k), answer::complete);
             while (worker.getInputStream().available() == 0 && !answer.isDone()) {
                 Thread.onSpinWait();
             }
         }
-        assertThat(nextRequest(worker)).contains("X-Request-ID: " + server + "-next");
+        assertThat(readRequest(worker)).contains("X-Request-ID: " + server + "-next");
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void whileItsConnectionComesUp(Departure departure) throws Exception {
-        HeldSelector held = holdConnectionsTo(ONE);
-        Caller caller = call("one-first");
-        Socket worker = acceptAt(ONE);
-        leave(departure, List.of(caller));
-        if (departure.noticed()) {
-            moduleTurns.awaitQuiet();
-            assertThat(toldClosed).as("ended at once").contains("one-first");
+    void clientLeavesWhileItsConnectionComesUp(Departure departure) throws Exception {
+        HeldSelector held = holdConnectionsToWorker(FIRST_WORKER);
+        WaitingClient client = openClient("one-first");
+        Socket worker = acceptAtWorker(FIRST_WORKER);
+        leaveAll(departure, List.of(client));
+        if (departure.detected()) {
+            moduleExecutor.awaitIdle();
+            assertThat(outcomesAfterClose).as("ended at once").contains("one-first");
         }
         held.release();
-        assertNothingBeganBeforeTheNext("one", worker);
+        assertNextAttemptIsOfALaterRequest("one", worker);
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void whileTheConnectionOfItsRepeatComesUp(Departure departure) throws Exception {
-        Caller caller = call("one-failed");
-        Socket first = acceptAt(ONE);
-        nextRequest(first);
-        HeldSelector held = holdConnectionsTo(TWO);
+    void clientLeavesWhileTheConnectionOfItsRepeatComesUp(Departure departure) throws Exception {
+        WaitingClient client = openClient("one-failed");
+        Socket first = acceptAtWorker(FIRST_WORKER);
+        readRequest(first);
+        HeldSelector held = holdConnectionsToWorker(SECOND_WORKER);
         reply(first, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n");
-        Socket second = acceptAt(TWO);
-        leave(departure, List.of(caller));
+        Socket second = acceptAtWorker(SECOND_WORKER);
+        leaveAll(departure, List.of(client));
         held.release();
-        assertNothingBeganBeforeTheNext("two", second);
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void betweenAFailedAttemptAndItsRepeat(Departure departure) throws Exception {
-        Socket second = idleConnection();
-        Caller caller = call("one-failed");
-        Socket first = acceptAt(ONE);
-        nextRequest(first);
-        serverTurns[ONE].awaitQuiet();
-        moduleTurns.hold();
+    void clientLeavesBetweenAFailedAttemptAndItsRepeat(Departure departure) throws Exception {
+        Socket second = openIdleConnection();
+        WaitingClient client = openClient("one-failed");
+        Socket first = acceptAtWorker(FIRST_WORKER);
+        readRequest(first);
+        serverExecutors[FIRST_WORKER].awaitIdle();
+        moduleExecutor.hold();
         reply(first, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n");
-        moduleTurns.awaitMessage();
-        leave(departure, List.of(caller));
-        moduleTurns.release();
-        if (departure.noticed()) {
-            assertThat(toldOpen).as("what may be repeated").doesNotContain("one-failed");
+        moduleExecutor.awaitWaitingTurn();
+        leaveAll(departure, List.of(client));
+        moduleExecutor.release();
+        if (departure.detected()) {
+            assertThat(outcomesWhileOpen).as("what may be repeated").doesNotContain("one-failed");
         }
-        assertNothingBeganBeforeTheNext("two", second);
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void asTheSecondCopyFallsDue(Departure departure) throws Exception {
-        Socket second = idleConnection();
-        Caller caller = call("one-copied");
-        nextRequest(acceptAt(ONE));
-        serverTurns[ONE].awaitQuiet();
-        moduleTurns.hold();
+    void clientLeavesAsTheSecondCopyFallsDue(Departure departure) throws Exception {
+        Socket second = openIdleConnection();
+        WaitingClient client = openClient("one-copied");
+        readRequest(acceptAtWorker(FIRST_WORKER));
+        serverExecutors[FIRST_WORKER].awaitIdle();
+        moduleExecutor.hold();
         timers.secondCopies.take().run();
-        leave(departure, List.of(caller));
-        moduleTurns.release();
-        assertNothingBeganBeforeTheNext("two", second);
+        leaveAll(departure, List.of(client));
+        moduleExecutor.release();
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void whileTheConnectionOfItsSecondCopyComesUp(Departure departure) throws Exception {
-        Caller caller = call("one-copied");
-        nextRequest(acceptAt(ONE));
-        HeldSelector held = holdConnectionsTo(TWO);
+    void clientLeavesWhileTheConnectionOfItsSecondCopyComesUp(Departure departure) throws Exception {
+        WaitingClient client = openClient("one-copied");
+        readRequest(acceptAtWorker(FIRST_WORKER));
+        HeldSelector held = holdConnectionsToWorker(SECOND_WORKER);
         timers.secondCopies.take().run();
-        Socket second = acceptAt(TWO);
-        leave(departure, List.of(caller));
+        Socket second = acceptAtWorker(SECOND_WORKER);
+        leaveAll(departure, List.of(client));
         held.release();
-        assertNothingBeganBeforeTheNext("two", second);
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void whileSeveralWaitForTheModule(Departure departure) throws Exception {
-        Socket worker = idleConnection();
-        moduleTurns.hold();
-        List<Caller> callers = List.of(call("two-a"), call("two-b"), call("two-c"));
-        leave(departure, callers);
-        moduleTurns.release();
-        assertNothingBeganBeforeTheNext("two", worker);
+    void clientsLeaveWhileTheyWaitForTheModule(Departure departure) throws Exception {
+        Socket worker = openIdleConnection();
+        moduleExecutor.hold();
+        List<WaitingClient> clients = List.of(openClient("two-a"), openClient("two-b"), openClient("two-c"));
+        leaveAll(departure, clients);
+        moduleExecutor.release();
+        assertNextAttemptIsOfALaterRequest("two", worker);
     }
 
     @ParameterizedTest
     @MethodSource("departures")
-    void whileSeveralWaitForTheServer(Departure departure) throws Exception {
-        Socket worker = idleConnection();
-        serverTurns[TWO].hold();
-        List<Caller> callers = List.of(call("two-a"), call("two-b"), call("two-c"));
-        leave(departure, callers);
-        serverTurns[TWO].release();
-        assertNothingBeganBeforeTheNext("two", worker);
+    void clientsLeaveWhileTheyWaitForTheServer(Departure departure) throws Exception {
+        Socket worker = openIdleConnection();
+        serverExecutors[SECOND_WORKER].hold();
+        List<WaitingClient> clients = List.of(openClient("two-a"), openClient("two-b"), openClient("two-c"));
+        leaveAll(departure, clients);
+        serverExecutors[SECOND_WORKER].release();
+        assertNextAttemptIsOfALaterRequest("two", worker);
     }
 
     /** The last moment: the client was found there, and the module is yet to hear that it has gone. */
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void asItsAttemptIsAboutToBegin(Way way) throws Exception {
-        Socket second = idleConnection();
-        Caller caller = callWithACopyAboutToBegin(acceptedAtOne -> {});
-        moduleTurns.hold();
-        leave(new Departure(way, true), List.of(caller));
-        serverTurns[TWO].release();
-        moduleTurns.release();
-        assertNothingBeganBeforeTheNext("two", second);
+    @EnumSource(LeaveMode.class)
+    void clientLeavesAsItsAttemptIsAboutToBegin(LeaveMode mode) throws Exception {
+        Socket second = openIdleConnection();
+        WaitingClient client = openClientWithCopyAboutToBegin(firstConnection -> {});
+        moduleExecutor.hold();
+        leaveAll(new Departure(mode, true), List.of(client));
+        serverExecutors[SECOND_WORKER].release();
+        moduleExecutor.release();
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     @Test
-    void norDoesACopyBeginOnceTheOtherHasBeenAnswered() throws Exception {
-        Socket second = idleConnection();
+    void aCopyDoesNotBeginOnceTheOtherWasAnswered() throws Exception {
+        Socket second = openIdleConnection();
         CompletableFuture<Socket> first = new CompletableFuture<>();
-        Caller caller = callWithACopyAboutToBegin(first::complete);
+        WaitingClient client = openClientWithCopyAboutToBegin(first::complete);
         replyDone(first.get(), "one-copied");
-        assertThat(HttpText.firstLine(caller.socket.getInputStream())).isEqualTo("HTTP/1.1 200 OK");
-        serverTurns[TWO].release();
-        assertNothingBeganBeforeTheNext("two", second);
+        assertThat(HttpText.firstLine(client.socket.getInputStream())).isEqualTo("HTTP/1.1 200 OK");
+        serverExecutors[SECOND_WORKER].release();
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     /** Its time is up, and another may have been sent in its place: it would be one copy more. */
     @Test
-    void norDoesAnAttemptBeginThatWasGivenUpBefore() throws Exception {
-        Socket second = idleConnection();
-        callWithACopyAboutToBegin(acceptedAtOne -> {});
+    void anAttemptThatTimedOutDoesNotBegin() throws Exception {
+        Socket second = openIdleConnection();
+        openClientWithCopyAboutToBegin(firstConnection -> {});
         timers.attemptLimits.take().run();
-        serverTurns[TWO].release();
-        assertNothingBeganBeforeTheNext("two", second);
+        serverExecutors[SECOND_WORKER].release();
+        assertNextAttemptIsOfALaterRequest("two", second);
     }
 
     /** A client whose second copy waits for nothing but its turn at the second server, which is held. */
-    private Caller callWithACopyAboutToBegin(Consumer<Socket> acceptedAtOne) throws Exception {
-        Caller caller = call("one-copied");
-        Socket first = acceptAt(ONE);
-        nextRequest(first);
-        acceptedAtOne.accept(first);
-        serverTurns[ONE].awaitQuiet();
-        clientTurns.hold();
+    private WaitingClient openClientWithCopyAboutToBegin(Consumer<Socket> firstConnection) throws Exception {
+        WaitingClient client = openClient("one-copied");
+        Socket first = acceptAtWorker(FIRST_WORKER);
+        readRequest(first);
+        firstConnection.accept(first);
+        serverExecutors[FIRST_WORKER].awaitIdle();
+        clientExecutor.hold();
         timers.secondCopies.take().run();
-        clientTurns.awaitMessage();
-        serverTurns[TWO].hold();
-        clientTurns.release();
-        serverTurns[TWO].awaitMessage();
-        return caller;
+        clientExecutor.awaitWaitingTurn();
+        serverExecutors[SECOND_WORKER].hold();
+        clientExecutor.release();
+        serverExecutors[SECOND_WORKER].awaitWaitingTurn();
+        return client;
     }
 }
--- a/src/test/java/barrowshore/node/ExchangeTest.java
+++ b/src/test/java/barrowshore/node/ExchangeTest.java
@@ -46,22 +46,24 @@
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ExchangeTest {
-    private static final Path FILES = Path.of("src/test/resources/exchanges");
+    private static final Path SCRIPTS = Path.of("src/test/resources/exchanges");
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final String LIST = "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"$S\","
-            + "\"az\":\"a\",\"model\":\"m\",\"pod_group\":0,\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0}]}";
+    private static final String SERVER_LIST =
+            "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"$S\","
+                    + "\"az\":\"a\",\"model\":\"m\",\"pod_group\":0,\"state\":\"Ready\","
+                    + "\"capacity_hint\":1.0,\"boot_ms\":0}]}";
 
-    static Stream<String> files() throws IOException {
-        try (Stream<Path> all = Files.list(FILES)) {
+    static Stream<String> scriptNames() throws IOException {
+        try (Stream<Path> all = Files.list(SCRIPTS)) {
             return all.map(p -> p.getFileName().toString()).filter(n -> n.endsWith(".txt")).sorted().toList().stream();
         }
     }
 
     @ParameterizedTest(name = "{0}")
-    @MethodSource("files")
-    void plays(String file) throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.play(Files.readString(FILES.resolve(file)));
+    @MethodSource("scriptNames")
+    void schedulerFollowsTheScript(String script) throws Exception {
+        try (ScriptPlayer player = new ScriptPlayer()) {
+            player.play(Files.readString(SCRIPTS.resolve(script)));
         }
     }
 
@@ -69,7 +71,7 @@
     @Test
     void sigHupIsHandled() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
-        JobScheduler.onHangUp(heard::countDown);
+        JobScheduler.handleHangUp(heard::countDown);
         Class<?> signal = Class.forName("sun.misc.Signal");
         signal.getMethod("raise", signal)
                 .invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
@@ -77,22 +79,22 @@
     }
 
     /** The scheduler and its scripted peers. */
-    private static final class Stage implements AutoCloseable {
+    private static final class ScriptPlayer implements AutoCloseable {
         private final ManualTime time = new ManualTime();
-        private final ServerSocket servers = new ServerSocket(0, 50, LOOPBACK);
-        private final ServerSocket discovery = new ServerSocket(0, 50, LOOPBACK);
-        private final ServerSocket elsewhere = new ServerSocket(0, 50, LOOPBACK);
+        private final ServerSocket workerListener = new ServerSocket(0, 50, LOOPBACK);
+        private final ServerSocket discoveryListener = new ServerSocket(0, 50, LOOPBACK);
+        private final ServerSocket secondDiscoveryListener = new ServerSocket(0, 50, LOOPBACK);
         private final Map<String, Socket> peers = new HashMap<>();
-        private String config = Files.readString(FILES.resolve("config.json"));
-        private String module = "real";
-        private JobScheduler node;
+        private String config = Files.readString(SCRIPTS.resolve("config.json"));
+        private String moduleKind = "real";
+        private JobScheduler scheduler;
         /** The process that the node follows, once it does. */
-        private JobScheduler former;
+        private JobScheduler predecessor;
 
         private final Path folder = Files.createTempDirectory("twin");
-        private CountDownLatch draining;
+        private CountDownLatch drained;
 
-        Stage() throws IOException {}
+        ScriptPlayer() throws IOException {}
 
         void play(String script) throws Exception {
             for (String block : script.split("(?m)^== ")) {
@@ -100,7 +102,7 @@
                 String[] words = block.substring(0, end).strip().split(" ");
                 String text = block.substring(end + 1);
                 if (words.length > 2 && words[2].startsWith("@")) {
-                    text = Files.readString(FILES.resolve("messages").resolve(words[2].substring(1)));
+                    text = Files.readString(SCRIPTS.resolve("messages").resolve(words[2].substring(1)));
                     for (int k = 3; k < words.length; k++) {
                         text = text.replace("$" + (k - 2), words[k]);
                     }
@@ -108,9 +110,9 @@
                 if (words[0].startsWith("#")) {
                     continue; // the opening remark
                 }
-                step(
+                runStep(
                         words,
-                        named(text.replace("\n", "\r\n")
+                        substituteAddresses(text.replace("\n", "\r\n")
                                 .replace("\\\r\n", "")
                                 .replace("\\n", "\n")
                                 .replace("$64K", "x".repeat(65536))
@@ -121,100 +123,100 @@
         }
 
         /** Puts in the addresses of this run. */
-        private String named(String text) {
-            return text.replace("$S", "127.0.0.1:" + servers.getLocalPort())
-                    .replace("$D", "127.0.0.1:" + discovery.getLocalPort())
-                    .replace("$E", "127.0.0.1:" + elsewhere.getLocalPort());
+        private String substituteAddresses(String text) {
+            return text.replace("$S", "127.0.0.1:" + workerListener.getLocalPort())
+                    .replace("$D", "127.0.0.1:" + discoveryListener.getLocalPort())
+                    .replace("$E", "127.0.0.1:" + secondDiscoveryListener.getLocalPort());
         }
 
-        private void step(String[] words, String bytes, String text) throws Exception {
+        private void runStep(String[] words, String bytes, String text) throws Exception {
             switch (words[0]) {
                 case "config" -> config = config.replace(words[1], words[2]);
                 case "reload" -> {
-                    config = config.replace(named(words[1]), named(words[2]));
+                    config = config.replace(substituteAddresses(words[1]), substituteAddresses(words[2]));
                     String file = config;
-                    node.reload(() -> new SchedulerConfig(Config.parse(file), OperatorSettings.NONE));
+                    scheduler.reload(() -> new SchedulerConfig(Config.parse(file), OperatorSettings.NONE));
                 }
-                case "look-again" -> lookAgain(named(words[1]), named(words[2]));
-                case "module" -> module = words[1];
-                case "start" -> start();
+                case "look-again" -> replaceConfigFile(substituteAddresses(words[1]), substituteAddresses(words[2]));
+                case "module" -> moduleKind = words[1];
+                case "start" -> startScheduler();
                 case "follow" -> {
-                    former = node;
+                    predecessor = scheduler;
                     config = config.replace(
                             "127.0.0.1:0\",\"discovery",
-                            "127.0.0.1:" + node.address().getPort() + "\",\"discovery");
-                    start();
+                            "127.0.0.1:" + scheduler.address().getPort() + "\",\"discovery");
+                    startScheduler();
                 }
                 case "followed" -> {
-                    while (!former.isFollowed()) {
+                    while (!predecessor.isSuccessorServing()) {
                         Thread.onSpinWait();
                     }
                 }
                 case "left-to-the-next" -> {
-                    while (former.listens()) {
+                    while (predecessor.isListening()) {
                         Thread.onSpinWait();
                     }
                 }
                 case "former-ends" -> {
-                    former.stop();
-                    former = null;
+                    predecessor.stop();
+                    predecessor = null;
                 }
                 case "next-dies" -> {
-                    node.stop();
-                    node = former;
-                    former = null;
-                    while (node.isFollowed()) {
+                    scheduler.stop();
+                    scheduler = predecessor;
+                    predecessor = null;
+                    while (scheduler.isSuccessorServing()) {
                         Thread.onSpinWait();
                     }
                 }
                 case "ready" -> {
-                    start();
-                    list("D1", LIST);
-                    untilReady(0);
+                    startScheduler();
+                    sendList("D1", SERVER_LIST);
+                    awaitReady(0);
                 }
-                case "until-ready" -> untilReady(0);
-                case "until-ready-in-time" -> untilReady(100);
+                case "until-ready" -> awaitReady(0);
+                case "until-ready-in-time" -> awaitReady(100);
                 case "idle" -> {
-                    for (int k = 1; k <= Integer.parseInt(words[1]); k++) {
-                        Socket idle = peer("C-idle" + k, false);
+                    for (int number = 1; number <= Integer.parseInt(words[1]); number++) {
+                        Socket idle = peer("C-idle" + number, false);
                         send(idle, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                        assertThat(message(idle.getInputStream())).startsWith("HTTP/1.1 200");
+                        assertThat(readMessage(idle.getInputStream())).startsWith("HTTP/1.1 200");
                     }
                 }
-                case "figures" -> untilFigures(text.strip().split("\n"));
-                case "term" -> draining = (former == null ? node : former).drain();
+                case "figures" -> awaitMetrics(text.strip().split("\n"));
+                case "term" -> drained = (predecessor == null ? scheduler : predecessor).drain();
                 case "gone" -> {
-                    while (!draining.await(1, TimeUnit.MILLISECONDS)) {
+                    while (!drained.await(1, TimeUnit.MILLISECONDS)) {
                         time.advance(100);
                     }
                 }
                 case "time" -> time.advance(Long.parseLong(words[1]));
                 case "no-more" -> {
-                    servers.setSoTimeout(1);
-                    assertThatThrownBy(servers::accept).isInstanceOf(SocketTimeoutException.class);
+                    workerListener.setSoTimeout(1);
+                    assertThatThrownBy(workerListener::accept).isInstanceOf(SocketTimeoutException.class);
                 }
-                default -> act(words[0], words[1], words.length > 2 ? words[2] : "", bytes, text);
+                default -> actAsPeer(words[0], words[1], words.length > 2 ? words[2] : "", bytes, text);
             }
         }
 
-        private void lookAgain(String part, String instead) throws Exception {
+        private void replaceConfigFile(String part, String instead) throws Exception {
             Path file = folder.resolve("config.json");
             Files.writeString(file, config);
             ConfigFiles files = new ConfigFiles(file, null, null);
             files.read();
-            node.lookAgain(files); // it is as it was
+            scheduler.reloadIfChanged(files); // it is as it was
             config = config.replace(part, instead);
             // Put in its place whole: a look between the truncation and the bytes would find a bad file.
             Path next = folder.resolve("config.next");
             Files.writeString(next, config);
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
-            node.lookAgain(files);
-            node.lookAgain(files);
+            scheduler.reloadIfChanged(files);
+            scheduler.reloadIfChanged(files);
         }
 
-        private void act(String who, String does, String status, String bytes, String text) throws Exception {
-            Socket peer = peer(who, does.equals("reopens"));
-            switch (does) {
+        private void actAsPeer(String name, String action, String status, String bytes, String text) throws Exception {
+            Socket peer = peer(name, action.equals("reopens"));
+            switch (action) {
                 case "connects", "reopens" -> {}
                 case "ends-in-time", "gets-in-time" -> {
                     // Time moves on until there is something to read, since nothing else shows that a timer is set.
@@ -229,12 +231,12 @@
                             continue;
                         }
                     }
-                    if (does.equals("ends-in-time")) {
-                        assertThat(first).as(who + " ends").isEqualTo(-1);
+                    if (action.equals("ends-in-time")) {
+                        assertThat(first).as(name + " ends").isEqualTo(-1);
                     } else {
                         peer.setSoTimeout(0);
                         in.unread(first);
-                        assertThat(message(in)).as(who + " gets").isEqualTo(bytes);
+                        assertThat(readMessage(in)).as(name + " gets").isEqualTo(bytes);
                     }
                 }
                 case "sends" -> send(peer, bytes);
@@ -243,60 +245,61 @@
                     // call in
                     // between takes the selector through its rounds, in which it closes what was given to it to close.
                     for (int k = 0; k < 2; k++) {
-                        try (Socket asker = new Socket(LOOPBACK, node.address().getPort())) {
+                        try (Socket asker =
+                                new Socket(LOOPBACK, scheduler.address().getPort())) {
                             send(asker, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                            assertThat(message(asker.getInputStream())).startsWith("HTTP/1.1 200");
+                            assertThat(readMessage(asker.getInputStream())).startsWith("HTTP/1.1 200");
                         }
                         send(peer, bytes);
                     }
                 }
                 case "is-rejected" -> {
                     send(peer, bytes);
-                    act(who, "ends-in-answer", status, "", "");
+                    actAsPeer(name, "ends-in-answer", status, "", "");
                 }
                 case "chunks" -> {
                     for (String line : text.strip().split("\n")) {
                         send(peer, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
                     }
                 }
-                case "lists" -> list(who, text.strip());
+                case "lists" -> sendList(name, text.strip());
                 case "ends-in-answer" -> {
-                    assertThat(message(peer.getInputStream()))
-                            .as(who)
+                    assertThat(readMessage(peer.getInputStream()))
+                            .as(name)
                             .startsWith("HTTP/1.1 " + status + " ")
                             .contains("Connection: close");
-                    assertThat(atEnd(peer)).as(who + " ends").isTrue();
+                    assertThat(isAtEnd(peer)).as(name + " ends").isTrue();
                 }
-                case "gets" -> assertThat(message(peer.getInputStream()))
-                        .as(who + " gets")
+                case "gets" -> assertThat(readMessage(peer.getInputStream()))
+                        .as(name + " gets")
                         .isEqualTo(bytes);
-                case "ends" -> assertThat(atEnd(peer)).as(who + " ends").isTrue();
+                case "ends" -> assertThat(isAtEnd(peer)).as(name + " ends").isTrue();
                 case "closes" -> peer.close();
                 case "resets" -> {
                     peer.setSoLinger(true, 0);
                     peer.close();
                 }
-                default -> throw new IllegalArgumentException("no such step: " + does);
+                default -> throw new IllegalArgumentException("no such step: " + action);
             }
         }
 
-        private void start() throws Exception {
-            config = named(config);
+        private void startScheduler() throws Exception {
+            config = substituteAddresses(config);
             Config read = Config.parse(config);
-            node = new JobScheduler(
+            scheduler = new JobScheduler(
                     new SchedulerConfig(read, OperatorSettings.NONE),
                     new Clock(1_700_000_000_000L, time::nanos),
                     time,
                     folder.resolve("t"),
-                    actions -> switch (module) {
-                        case "silent" -> faulty(false);
-                        case "broken" -> faulty(true);
+                    actions -> switch (moduleKind) {
+                        case "silent" -> faultyModule(false);
+                        case "broken" -> faultyModule(true);
                         default -> new Dispatcher(read.settings(), actions);
                     });
         }
 
         /** A module that never orders anything, or throws at each request. */
-        private static DispatchApi faulty(boolean throwing) {
+        private static DispatchApi faultyModule(boolean throwing) {
             return (DispatchApi) Proxy.newProxyInstance(
                     DispatchApi.class.getClassLoader(), new Class<?>[] {DispatchApi.class}, (proxy, method, args) -> {
                         if (throwing && method.getName().equals("request")) {
@@ -306,30 +309,30 @@
                     });
         }
 
-        private Socket peer(String name, boolean inTime) throws IOException {
-            Socket known = peers.get(name);
-            if (known == null) {
-                known = switch (name.charAt(0)) {
-                    case 'O' -> new Socket(LOOPBACK, node.operators().getPort());
-                    case 'C' -> new Socket(LOOPBACK, node.address().getPort());
-                    case 'S' -> servers.accept();
-                    case 'D' -> inTime ? acceptInTime() : discovery.accept();
-                    case 'E' -> elsewhere.accept();
+        private Socket peer(String name, boolean advancingTime) throws IOException {
+            Socket socket = peers.get(name);
+            if (socket == null) {
+                socket = switch (name.charAt(0)) {
+                    case 'O' -> new Socket(LOOPBACK, scheduler.opsAddress().getPort());
+                    case 'C' -> new Socket(LOOPBACK, scheduler.address().getPort());
+                    case 'S' -> workerListener.accept();
+                    case 'D' -> advancingTime ? acceptDiscoveryAdvancingTime() : discoveryListener.accept();
+                    case 'E' -> secondDiscoveryListener.accept();
                     default -> throw new IllegalArgumentException("no such peer: " + name);
                 };
-                known.setTcpNoDelay(true);
-                peers.put(name, known);
+                socket.setTcpNoDelay(true);
+                peers.put(name, socket);
             }
-            return known;
+            return socket;
         }
 
-        private Socket acceptInTime() throws IOException {
+        private Socket acceptDiscoveryAdvancingTime() throws IOException {
             // Time must not run past the dial's own limit while another thread has yet to dial.
-            discovery.setSoTimeout(8);
+            discoveryListener.setSoTimeout(8);
             while (true) {
                 time.advance(10);
                 try {
-                    return discovery.accept();
+                    return discoveryListener.accept();
                 } catch (SocketTimeoutException e) {
                     continue;
                 }
@@ -337,52 +340,52 @@
         }
 
         /** Tells the whole list, by itself or as a watch's first line, as it is asked for; or (+) a line of the watch. */
-        private void list(String who, String line) throws IOException {
-            Socket watch = peer(who, false);
+        private void sendList(String name, String line) throws IOException {
+            Socket watch = peer(name, false);
             if (!line.startsWith("+")) {
-                String list = named(line), asked = message(watch.getInputStream());
+                String list = substituteAddresses(line), asked = readMessage(watch.getInputStream());
                 if (asked.startsWith("GET /api/targets?watch=1&after=5 HTTP/1.1\r\n")) {
                     send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    list(who, "+" + line);
+                    sendList(name, "+" + line);
                     return;
                 }
                 assertThat(asked).startsWith("GET /api/targets HTTP/1.1\r\n");
                 send(watch, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-                assertThat(message(watch.getInputStream())).startsWith("GET /api/targets?watch=1&after=");
+                assertThat(readMessage(watch.getInputStream())).startsWith("GET /api/targets?watch=1&after=");
                 send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 return;
             }
-            String json = named(line.substring(1)) + "\n";
+            String json = substituteAddresses(line.substring(1)) + "\n";
             // In two chunks that end mid-line: boundaries may fall anywhere.
-            String one = json.substring(0, json.length() / 2), two = json.substring(json.length() / 2);
+            String firstPart = json.substring(0, json.length() / 2), secondPart = json.substring(json.length() / 2);
             send(
                     watch,
-                    Integer.toHexString(one.length()) + "\r\n" + one + "\r\n" + Integer.toHexString(two.length())
-                            + "\r\n" + two + "\r\n");
+                    Integer.toHexString(firstPart.length()) + "\r\n" + firstPart + "\r\n"
+                            + Integer.toHexString(secondPart.length()) + "\r\n" + secondPart + "\r\n");
         }
 
         /** Each time by a new connection: one that is told no while clients are sent away ends with that. */
-        private void untilReady(long step) throws IOException {
+        private void awaitReady(long stepMillis) throws IOException {
             String answer = "";
             while (!answer.startsWith("HTTP/1.1 200")) {
-                time.advance(step);
-                try (Socket asker = new Socket(LOOPBACK, node.address().getPort())) {
+                time.advance(stepMillis);
+                try (Socket asker = new Socket(LOOPBACK, scheduler.address().getPort())) {
                     send(asker, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                    answer = message(asker.getInputStream());
+                    answer = readMessage(asker.getInputStream());
                 }
             }
         }
 
         /** Published by their owner when it comes to it, so they are read until they are there. */
-        private void untilFigures(String[] lines) throws IOException {
-            List<String> got = List.of();
-            for (int k = 0; k < 20_000 && !got.containsAll(List.of(lines)); k++) {
-                try (Socket asker = new Socket(LOOPBACK, node.operators().getPort())) {
+        private void awaitMetrics(String[] lines) throws IOException {
+            List<String> metrics = List.of();
+            for (int tries = 0; tries < 20_000 && !metrics.containsAll(List.of(lines)); tries++) {
+                try (Socket asker = new Socket(LOOPBACK, scheduler.opsAddress().getPort())) {
                     send(asker, "GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
-                    got = List.of(message(asker.getInputStream()).split("\r?\n"));
+                    metrics = List.of(readMessage(asker.getInputStream()).split("\r?\n"));
                 }
             }
-            assertThat(got).contains(lines);
+            assertThat(metrics).contains(lines);
         }
 
         private static void send(Socket to, String bytes) throws IOException {
@@ -391,7 +394,7 @@
         }
 
         /** One message, framed by its Content-Length; the time to come back at is only seen to be one. */
-        private static String message(InputStream in) throws IOException {
+        private static String readMessage(InputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
@@ -410,7 +413,7 @@
             return head.toString().replaceAll("Retry-After: (0\\.0*[1-9][0-9]*|[1-9][0-9.]*)", "Retry-After: ~") + body;
         }
 
-        private static boolean atEnd(Socket peer) throws IOException {
+        private static boolean isAtEnd(Socket peer) throws IOException {
             try {
                 return peer.getInputStream().read() < 0;
             } catch (SocketException e) {
@@ -423,7 +426,7 @@
             for (Socket peer : peers.values()) {
                 peer.close();
             }
-            for (JobScheduler each : new JobScheduler[] {node, former}) {
+            for (JobScheduler each : new JobScheduler[] {scheduler, predecessor}) {
                 if (each != null) {
                     each.stop();
                 }
@@ -431,9 +434,9 @@
             Files.deleteIfExists(folder.resolve("config.json"));
             Files.deleteIfExists(folder.resolve("t"));
             Files.delete(folder);
-            servers.close();
-            discovery.close();
-            elsewhere.close();
+            workerListener.close();
+            discoveryListener.close();
+            secondDiscoveryListener.close();
         }
     }
 }
--- a/src/test/java/barrowshore/node/IdleClientsTest.java
+++ b/src/test/java/barrowshore/node/IdleClientsTest.java
@@ -38,14 +38,14 @@
      * The limit given to the scheduler. The kernel's table of a process's descriptors grows by powers of two and never
      * shrinks, so its size tells whether there were ever more than these.
      */
-    private static final int SOCKETS = 256;
+    private static final int MAX_DESCRIPTORS = 256;
     /** Idle clients at a time: more than twice the limit. */
-    private static final int IDLE = 600;
+    private static final int MAX_IDLE_CLIENTS = 600;
     /** Idle clients that have to come while one thing is waited for. */
-    private static final int MORE = IDLE;
+    private static final int NEW_IDLE_CLIENTS_PER_WAIT = MAX_IDLE_CLIENTS;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final String STREAM = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String CHUNKED_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @TempDir
     private Path folder;
@@ -54,14 +54,14 @@
     private final ServerSocket secondWorker = new ServerSocket(0, 50, LOOPBACK);
     private final ServerSocket thirdWorker = new ServerSocket(0, 50, LOOPBACK);
     /** Connections that the scheduler has made to workers. */
-    private final BlockingQueue<Socket> carried = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> workerConnections = new LinkedBlockingQueue<>();
 
-    private final AtomicInteger idleSoFar = new AtomicInteger();
-    private int requests;
+    private final AtomicInteger idleClientCount = new AtomicInteger();
+    private int requestCount;
     private int listenPort;
     private int discoveryPort;
     private Process scheduler;
-    private Thread flood;
+    private Thread idleClientThread;
 
     IdleClientsTest() throws IOException {}
 
@@ -72,7 +72,7 @@
         }
         listenPort = freePort();
         discoveryPort = freePort();
-        configure(discoveryPort);
+        writeConfig(discoveryPort);
         scheduler = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx64m",
@@ -91,9 +91,9 @@
 
     @AfterEach
     void stop() throws Exception {
-        if (flood != null) {
-            flood.interrupt();
-            flood.join();
+        if (idleClientThread != null) {
+            idleClientThread.interrupt();
+            idleClientThread.join();
         }
         scheduler.destroyForcibly().waitFor();
         firstWorker.close();
@@ -103,46 +103,51 @@
 
     @Test
     void theLimitHoldsAndDiscoveryAndWorkersAreReached() throws Exception {
-        untilReady();
-        assertThat(descriptorTable()).as("descriptors before any client").isLessThanOrEqualTo(SOCKETS);
+        awaitReady();
+        assertThat(descriptorTableSize()).as("descriptors before any client").isLessThanOrEqualTo(MAX_DESCRIPTORS);
         try (Socket held = new Socket(LOOPBACK, listenPort)) {
-            serve(held, firstWorker);
-            flood = new Thread(this::flood, "flood");
-            flood.start();
-            untilMoreIdle();
+            serveRequest(held, firstWorker);
+            idleClientThread = new Thread(this::openIdleClients, "flood");
+            idleClientThread.start();
+            awaitMoreIdleClients();
             // Discovery is down: a request on a held connection, and a fresh connection to the worker for it.
-            serve(held, firstWorker);
+            serveRequest(held, firstWorker);
 
             try (ServerSocket discovery = listen(discoveryPort);
                     Socket watch = discovery.accept()) {
-                assertThat(head(watch.getInputStream())).startsWith("GET /api/targets?watch=1&after=5 ");
-                send(watch, STREAM);
-                untilMoreIdle();
-                list(watch, 6, false, entry("s-1", firstWorker, "Terminating"), entry("s-2", secondWorker, "Ready"));
-                serve(held, secondWorker);
-                untilMoreIdle();
+                assertThat(readHead(watch.getInputStream())).startsWith("GET /api/targets?watch=1&after=5 ");
+                send(watch, CHUNKED_RESPONSE_HEAD);
+                awaitMoreIdleClients();
+                sendTargets(
+                        watch,
+                        6,
+                        false,
+                        targetJson("s-1", firstWorker, "Terminating"),
+                        targetJson("s-2", secondWorker, "Ready"));
+                serveRequest(held, secondWorker);
+                awaitMoreIdleClients();
 
                 // It comes back in a new place.
                 try (ServerSocket elsewhere = new ServerSocket(0, 50, LOOPBACK)) {
-                    configure(elsewhere.getLocalPort());
+                    writeConfig(elsewhere.getLocalPort());
                     new ProcessBuilder("kill", "-HUP", Long.toString(scheduler.pid()))
                             .start()
                             .waitFor();
                     try (Socket moved = elsewhere.accept()) {
-                        assertThat(head(moved.getInputStream())).startsWith("GET /api/targets");
-                        whole(moved, entry("s-3", thirdWorker, "Ready"));
+                        assertThat(readHead(moved.getInputStream())).startsWith("GET /api/targets");
+                        sendWholeList(moved, targetJson("s-3", thirdWorker, "Ready"));
                         assertThat(watch.getInputStream().read())
                                 .as("the former watch ends")
                                 .isEqualTo(-1);
-                        serve(held, thirdWorker);
+                        serveRequest(held, thirdWorker);
                     }
                 }
             }
         }
-        assertThat(descriptorTable()).as("descriptors at any moment").isLessThanOrEqualTo(SOCKETS);
+        assertThat(descriptorTableSize()).as("descriptors at any moment").isLessThanOrEqualTo(MAX_DESCRIPTORS);
     }
 
-    private void configure(int discovery) throws IOException {
+    private void writeConfig(int discovery) throws IOException {
         String config = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replace("\"ops\":\"127.0.0.1:0\",", "")
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + listenPort + "\"")
@@ -150,7 +155,7 @@
                 .replace("$S", "127.0.0.1:" + firstWorker.getLocalPort())
                 // Where the processor is short a connect may take long, and one given up proves nothing here.
                 .replace("\"dialTimeout\":250000", "\"dialTimeout\":10000000")
-                .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS);
+                .replace("\"sockets\":1024", "\"sockets\":" + MAX_DESCRIPTORS);
         Path next = folder.resolve("config.next");
         Files.writeString(next, config);
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
@@ -170,7 +175,7 @@
     }
 
     /** How many descriptors the kernel has made room for in the scheduler's table: so many at most were ever open. */
-    private int descriptorTable() throws IOException {
+    private int descriptorTableSize() throws IOException {
         return Files.readAllLines(Path.of("/proc", Long.toString(scheduler.pid()), "status")).stream()
                 .filter(line -> line.startsWith("FDSize:"))
                 .mapToInt(line -> Integer.parseInt(line.substring(7).strip()))
@@ -178,12 +183,12 @@
                 .orElseThrow();
     }
 
-    private void untilReady() throws IOException {
+    private void awaitReady() throws IOException {
         for (boolean ready = false; !ready; ) {
             assertThat(scheduler.isAlive()).isTrue();
             try (Socket asker = new Socket(LOOPBACK, listenPort)) {
                 send(asker, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                ready = head(asker.getInputStream()).startsWith("HTTP/1.1 200");
+                ready = readHead(asker.getInputStream()).startsWith("HTTP/1.1 200");
             } catch (IOException e) {
                 continue; // not up yet
             }
@@ -191,18 +196,18 @@
     }
 
     /** Clients that come and stay: silent, with half a request, or with their own side ended. The oldest make room. */
-    private void flood() {
+    private void openIdleClients() {
         Deque<Socket> idle = new ArrayDeque<>();
         while (!Thread.currentThread().isInterrupted()) {
             try {
                 Socket client = new Socket(LOOPBACK, listenPort);
                 idle.add(client);
-                switch (idleSoFar.incrementAndGet() % 3) {
+                switch (idleClientCount.incrementAndGet() % 3) {
                     case 0 -> send(client, "POST /order HTTP/1.1\r\nHost: app.svc\r\nX-Req");
                     case 1 -> client.shutdownOutput();
                     default -> {}
                 }
-                if (idle.size() > IDLE) {
+                if (idle.size() > MAX_IDLE_CLIENTS) {
                     idle.remove().close();
                 }
             } catch (IOException e) {
@@ -220,23 +225,23 @@
         }
     }
 
-    private void untilMoreIdle() {
-        int enough = idleSoFar.get() + MORE;
-        while (idleSoFar.get() < enough) {
+    private void awaitMoreIdleClients() {
+        int enough = idleClientCount.get() + NEW_IDLE_CLIENTS_PER_WAIT;
+        while (idleClientCount.get() < enough) {
             Thread.onSpinWait();
         }
     }
 
     /** Requests on the held connection until one comes to that worker, which the scheduler may have yet to hear of. */
-    private void serve(Socket client, ServerSocket worker) throws Exception {
+    private void serveRequest(Socket client, ServerSocket worker) throws Exception {
         for (int port = 0; port != worker.getLocalPort(); ) {
-            port = serve(client);
+            port = serveRequest(client);
         }
     }
 
     /** A request that may not run twice, and so goes to its worker on a fresh connection; returns the worker's port. */
-    private int serve(Socket client) throws Exception {
-        String id = "a" + ++requests;
+    private int serveRequest(Socket client) throws Exception {
+        String id = "a" + ++requestCount;
         send(
                 client,
                 "POST /order HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " + id
@@ -247,29 +252,32 @@
 
     /** Answers the request as its worker, and reads the client's answer. */
     private int answerAsWorker(Socket client, String id) throws Exception {
-        try (Socket worker = arrival(client)) {
-            String asked = head(worker.getInputStream());
+        try (Socket worker = nextWorkerConnection(client)) {
+            String asked = readHead(worker.getInputStream());
             if (asked.isEmpty()) {
                 return answerAsWorker(
                         client, id); // it came up as its worker left the list, so nothing may be sent on it
             }
             assertThat(asked).startsWith("POST /order ").contains("X-Request-ID: " + id);
-            send(worker, STREAM + chunk("{\"id\":\"" + id + "\",\"from\":\"s\",\"state\":\"done\",\"result\":\"ok\"}"));
+            send(
+                    worker,
+                    CHUNKED_RESPONSE_HEAD
+                            + chunk("{\"id\":\"" + id + "\",\"from\":\"s\",\"state\":\"done\",\"result\":\"ok\"}"));
             send(worker, "0\r\n\r\n");
-            assertThat(head(client.getInputStream())).startsWith("HTTP/1.1 200 ");
+            assertThat(readHead(client.getInputStream())).startsWith("HTTP/1.1 200 ");
             assertThat(client.getInputStream().readNBytes(2)).containsExactly('o', 'k');
             return worker.getLocalPort();
         }
     }
 
     /** The next connection to a worker; the client must have no answer before that. */
-    private Socket arrival(Socket client) throws Exception {
+    private Socket nextWorkerConnection(Socket client) throws Exception {
         Socket next = null;
         while (next == null) {
             assertThat(client.getInputStream().available())
                     .as("an answer that no worker gave")
                     .isZero();
-            next = carried.poll(10, TimeUnit.MILLISECONDS);
+            next = workerConnections.poll(10, TimeUnit.MILLISECONDS);
         }
         return next;
     }
@@ -277,32 +285,32 @@
     private void acceptAll(ServerSocket worker) {
         try {
             while (true) {
-                carried.add(worker.accept());
+                workerConnections.add(worker.accept());
             }
         } catch (IOException e) {
             return; // closed: the test is over
         }
     }
 
-    private static String entry(String uid, ServerSocket worker, String state) {
+    private static String targetJson(String uid, ServerSocket worker, String state) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:" + worker.getLocalPort()
                 + "\",\"az\":\"a\",\"model\":\"m\",\"state\":\"" + state + "\"}";
     }
 
-    private static String targets(int rev, boolean all, String... entries) {
+    private static String targetListJson(int rev, boolean all, String... entries) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
 
-    private static void list(Socket watch, int rev, boolean all, String... entries) throws IOException {
-        send(watch, chunk(targets(rev, all, entries)));
+    private static void sendTargets(Socket watch, int rev, boolean all, String... entries) throws IOException {
+        send(watch, chunk(targetListJson(rev, all, entries)));
     }
 
     /** Answers the call for a whole list, and the watch that comes after it. */
-    private static void whole(Socket discovery, String... entries) throws IOException {
-        String list = targets(3, true, entries);
+    private static void sendWholeList(Socket discovery, String... entries) throws IOException {
+        String list = targetListJson(3, true, entries);
         send(discovery, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-        assertThat(head(discovery.getInputStream())).startsWith("GET /api/targets?watch=1&after=3 ");
-        send(discovery, STREAM);
+        assertThat(readHead(discovery.getInputStream())).startsWith("GET /api/targets?watch=1&after=3 ");
+        send(discovery, CHUNKED_RESPONSE_HEAD);
     }
 
     private static String chunk(String line) {
@@ -313,7 +321,7 @@
         to.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
--- a/src/test/java/barrowshore/node/LateConnectionTest.java
+++ b/src/test/java/barrowshore/node/LateConnectionTest.java
@@ -38,38 +38,39 @@
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LateConnectionTest {
-    private static final long WINDOW = 1_000_000;
+    private static final long REPEAT_WINDOW_MICROS = 1_000_000;
 
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     private final Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
     private final AtomicLong nanos = new AtomicLong();
     private final Clock clock = new Clock(1_700_000_000_000L, nanos::get);
-    private HeldSelector held;
-    private final ConnectionManager[] dialers = new ConnectionManager[2];
-    private final ServerSocket[] listening = new ServerSocket[2];
+    private HeldSelector heldSelector;
+    private final ConnectionManager[] connectionManagers = new ConnectionManager[2];
+    private final ServerSocket[] workerListeners = new ServerSocket[2];
     private ModuleActor module;
 
     @BeforeEach
     void start() throws Exception {
         timers.start();
         for (int k = 0; k < 2; k++) {
-            dialers[k] = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
-            dialers[k].start();
-            listening[k] = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-            listening[k].setSoTimeout(1);
+            connectionManagers[k] = new ConnectionManager(pool, timers, 50, 1, 10_000, endPoint -> null);
+            connectionManagers[k].start();
+            workerListeners[k] = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
+            workerListeners[k].setSoTimeout(1);
         }
         Config config = Config.parse(Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replace("$D", "127.0.0.1:9")
-                .replace("$S", "127.0.0.1:" + listening[0].getLocalPort())
+                .replace("$S", "127.0.0.1:" + workerListeners[0].getLocalPort())
                 .replace("\"cancel\":true", "\"cancel\":false")
                 .replace("\"secondCopies\":true", "\"secondCopies\":false")
                 .replace(
                         "\"idempotency\":\"idempotent\",\"keyScope\":\"all\",\"repeatWindow\":5000000",
-                        "\"idempotency\":\"deduplicated\",\"keyScope\":\"all\",\"repeatWindow\":" + WINDOW)
+                        "\"idempotency\":\"deduplicated\",\"keyScope\":\"all\",\"repeatWindow\":"
+                                + REPEAT_WINDOW_MICROS)
                 .replace(
                         "\"all\":true,\"targets\":[",
                         "\"all\":true,\"targets\":[{\"uid\":\"s-2\",\"endpoint\":\"127.0.0.1:"
-                                + listening[1].getLocalPort()
+                                + workerListeners[1].getLocalPort()
                                 + "\",\"az\":\"a\",\"model\":\"m\",\"state\":\"Ready\"},"));
         // Messages run in the poster's stack: in the order in which the test does things.
         module = new ModuleActor(
@@ -78,66 +79,69 @@
                 timers,
                 config.classes(),
                 5,
-                uid -> new Server(uid, Runnable::run, dialers[uid.equals("s-1") ? 0 : 1], timers, 60_000_000, 1),
+                uid -> new Server(
+                        uid, Runnable::run, connectionManagers[uid.equals("s-1") ? 0 : 1], timers, 60_000_000, 1),
                 message -> {},
                 actions -> new Dispatcher(config.settings(), actions));
         module.start();
-        module.update(config.knownServers());
+        module.updateServers(config.knownServers());
     }
 
     @AfterEach
     void stop() throws Exception {
-        release();
+        releaseSelector();
         for (int k = 0; k < 2; k++) {
-            listening[k].close();
-            LifeCycle.stop(dialers[k]);
+            workerListeners[k].close();
+            LifeCycle.stop(connectionManagers[k]);
         }
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
 
     /** Connections by this dialer are up for the kernel, but not for us. */
-    private void hold(ConnectionManager dialer) throws InterruptedException {
-        held = new HeldSelector(dialer);
+    private void holdSelector(ConnectionManager connectionManager) throws InterruptedException {
+        heldSelector = new HeldSelector(connectionManager);
     }
 
-    private void release() {
-        if (held != null) {
-            held.release();
+    private void releaseSelector() {
+        if (heldSelector != null) {
+            heldSelector.release();
         }
     }
 
     /** The first connection to come, at either server; which one it is, the module chooses. */
-    private Socket accept() throws IOException {
+    private Socket acceptFirstConnection() throws IOException {
         for (int k = 0; ; k = 1 - k) {
             try {
-                return listening[k].accept();
+                return workerListeners[k].accept();
             } catch (SocketTimeoutException e) {
                 continue;
             }
         }
     }
 
-    private JobRequest keyed(String id) {
+    private JobRequest keyedRequest(String id) {
         return new JobRequest(
-                id, 0, 0, 1, 0, clock.micros() + 4_000_000, WINDOW, "POST", "/menu", "key", new byte[] {'a'});
+                id, 0, 0, 1, 0, clock.micros() + 4_000_000, REPEAT_WINDOW_MICROS, "POST", "/menu", "key", new byte[] {
+                    'a'
+                });
     }
 
     @Test
     void aRequestWhoseClientHasGoneIsNotSentOnWhenItsConnectionComesUp() throws Exception {
-        module.update(new ServerList.Update(
+        module.updateServers(new ServerList.Update(
                 6, false, List.of(new ServerList.Entry("s-2", "", null, 0, 0, 0, ServerList.State.TERMINATING, 1, 0))));
-        hold(dialers[0]);
-        JobRequest request = keyed("gone");
+        holdSelector(connectionManagers[0]);
+        JobRequest request = keyedRequest("gone");
         module.submit(request, answer -> {});
         module.clientGone(request);
-        try (Socket accepted = accept()) {
-            held.release();
+        try (Socket accepted = acceptFirstConnection()) {
+            heldSelector.release();
             // There is one connection at most: once it is up it carries the one that has gone, or else one of these.
             // Each waits for the answer to the one before: a mailbox that is never empty would run in its own stack.
             for (int k = 0; accepted.getInputStream().available() == 0; k++) {
                 CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-                module.submit(keyed("a" + k), answer::complete);
+                module.submit(keyedRequest("a" + k), answer::complete);
                 while (accepted.getInputStream().available() == 0 && !answer.isDone()) {
                     Thread.onSpinWait();
                 }
@@ -151,19 +155,19 @@
     @Test
     void aRepeatIsNotSentOnceItsWindowIsOver() throws Exception {
         CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
-        module.submit(keyed("a1"), answer::complete);
-        try (Socket first = accept()) {
+        module.submit(keyedRequest("a1"), answer::complete);
+        try (Socket first = acceptFirstConnection()) {
             assertThat(HttpText.firstLine(first.getInputStream())).isEqualTo("POST /menu HTTP/1.1");
-            hold(dialers[first.getLocalPort() == listening[0].getLocalPort() ? 1 : 0]);
+            holdSelector(connectionManagers[first.getLocalPort() == workerListeners[0].getLocalPort() ? 1 : 0]);
             first.getOutputStream()
                     .write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
             // The repeat is on its way within the window; its connection comes up after that.
-            try (Socket second = accept()) {
-                nanos.addAndGet(WINDOW * 1000);
-                held.release();
+            try (Socket second = acceptFirstConnection()) {
+                nanos.addAndGet(REPEAT_WINDOW_MICROS * 1000);
+                heldSelector.release();
                 assertThat(answer.get()).isInstanceOf(JobRequest.Rejection.class);
-                LifeCycle.stop(dialers[0]);
-                LifeCycle.stop(dialers[1]);
+                LifeCycle.stop(connectionManagers[0]);
+                LifeCycle.stop(connectionManagers[1]);
                 assertThat(second.getInputStream().readAllBytes()).isEmpty();
             }
         }
--- a/src/test/java/barrowshore/node/ReadyTest.java
+++ b/src/test/java/barrowshore/node/ReadyTest.java
@@ -28,10 +28,10 @@
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReadyTest {
     /** Milliseconds from a start, or from when discovery can be reached, to being ready. */
-    private static final long BOUND = 6000;
+    private static final long READY_LIMIT_MILLIS = 6000;
 
-    private static final long STEP = 10;
-    private static final String LIST =
+    private static final long TIME_STEP_MILLIS = 10;
+    private static final String SERVER_LIST =
             "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:1\","
                     + "\"az\":\"a\",\"model\":\"m\",\"state\":\"Ready\"}]}\n";
 
@@ -42,7 +42,7 @@
 
     private final ManualTime time = new ManualTime();
     private ScriptedDiscovery discovery;
-    private JobScheduler node;
+    private JobScheduler scheduler;
 
     @BeforeEach
     void open() throws IOException {
@@ -52,7 +52,7 @@
     @AfterEach
     void close() throws IOException {
         discovery.close();
-        node.stop();
+        scheduler.stop();
     }
 
     private void start(boolean withKnownList) throws Exception {
@@ -60,7 +60,7 @@
                 .replace("$D", "127.0.0.1:" + discovery.address().getPort())
                 .replace("$S", "127.0.0.1:1")
                 .replace("\"known\":", withKnownList ? "\"known\":" : "\"unknown\":"));
-        node = new JobScheduler(
+        scheduler = new JobScheduler(
                 new SchedulerConfig(config, OperatorSettings.NONE),
                 new Clock(1_700_000_000_000L, time::nanos),
                 time,
@@ -70,7 +70,7 @@
 
     private boolean isReady() throws IOException {
         try (Socket asker =
-                new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
+                new Socket(InetAddress.getLoopbackAddress(), scheduler.address().getPort())) {
             asker.getOutputStream()
                     .write("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
             return new String(asker.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1).endsWith("200");
@@ -86,7 +86,7 @@
             if (call != null) {
                 play(script, call);
             }
-            time.advance(STEP);
+            time.advance(TIME_STEP_MILLIS);
             ready = isReady();
         }
         return ready;
@@ -100,51 +100,51 @@
         }
     }
 
-    private static void list(Call call) throws IOException {
+    private static void sendList(Call call) throws IOException {
         if (call.target().contains("watch")) {
             call.beginWatch();
-            call.chunk(LIST);
+            call.chunk(SERVER_LIST);
         } else {
-            call.answer(LIST);
+            call.answer(SERVER_LIST);
         }
     }
 
     @Test
     void discoveryListsAtOnce() throws Exception {
         start(true);
-        assertThat(isReadyWithin(BOUND, ReadyTest::list)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, ReadyTest::sendList)).isTrue();
     }
 
     @Test
     void discoveryListsAtOnceAndNoListIsKnown() throws Exception {
         start(false);
-        assertThat(isReadyWithin(BOUND, ReadyTest::list)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, ReadyTest::sendList)).isTrue();
     }
 
     @Test
     void discoveryIsDownAndConnectionsAreRefused() throws Exception {
         discovery.refuse();
         start(true);
-        assertThat(isReadyWithin(BOUND, null)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, null)).isTrue();
     }
 
     @Test
     void discoveryIsDownAndConnectionsNeverComeUp() throws Exception {
         discovery.fillQueue();
         start(true);
-        assertThat(isReadyWithin(BOUND, null)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, null)).isTrue();
     }
 
     @Test
     void discoveryAnswersNothing() throws Exception {
         start(true);
-        assertThat(isReadyWithin(BOUND, Call::target)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, Call::target)).isTrue();
     }
 
     @Test
     void discoveryAnswersThatItHasNoListForNow() throws Exception {
         start(true);
-        assertThat(isReadyWithin(BOUND, call -> {
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, call -> {
                     call.target();
                     call.refuse("3600");
                 }))
@@ -155,7 +155,7 @@
     void discoveryAnswersThatItHasNoListAndThenNothing() throws Exception {
         start(true);
         boolean[] refused = new boolean[1];
-        assertThat(isReadyWithin(BOUND, call -> {
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, call -> {
                     call.target();
                     if (!refused[0]) {
                         refused[0] = true;
@@ -168,7 +168,7 @@
     @Test
     void theWatchIsSilentFromItsHeadOn() throws Exception {
         start(true);
-        assertThat(isReadyWithin(BOUND, call -> {
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, call -> {
                     call.target();
                     call.beginWatch();
                 }))
@@ -178,14 +178,14 @@
     @Test
     void discoveryResetsEachCall() throws Exception {
         start(true);
-        assertThat(isReadyWithin(BOUND, Call::reset)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, Call::reset)).isTrue();
     }
 
     @Test
     void discoveryIsBackAfterALongSilenceAndNoListIsKnown() throws Exception {
         start(false);
         assertThat(isReadyWithin(12_000, Call::target)).isFalse();
-        assertThat(isReadyWithin(BOUND, ReadyTest::list)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, ReadyTest::sendList)).isTrue();
     }
 
     @Test
@@ -196,6 +196,6 @@
                     call.refuse("3600");
                 }))
                 .isFalse();
-        assertThat(isReadyWithin(BOUND, ReadyTest::list)).isTrue();
+        assertThat(isReadyWithin(READY_LIMIT_MILLIS, ReadyTest::sendList)).isTrue();
     }
 }
--- a/src/test/java/barrowshore/node/ReloadOperatorTest.java
+++ b/src/test/java/barrowshore/node/ReloadOperatorTest.java
@@ -16,51 +16,54 @@
 /** The operators' settings read again while a scheduler runs: whole, or not at all. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReloadOperatorTest {
-    private static SchedulerConfig setup(OperatorSettings operator) {
+    private static SchedulerConfig schedulerConfig(OperatorSettings operatorSettings) {
         try {
             return new SchedulerConfig(
                     Config.parse(Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                             .replace("$S", "127.0.0.1:7")
                             .replace("$D", "127.0.0.1:9")),
-                    operator);
+                    operatorSettings);
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** How many halls the scheduler knows when the next file is read: the ones before it are done with by then. */
-    private static int halls(JobScheduler node, Supplier<SchedulerConfig> next) throws Exception {
-        CompletableFuture<Integer> seen = new CompletableFuture<>();
-        node.reload(() -> {
-            seen.complete(node.hallStates().join().size());
+    private static int hallCountBeforeReload(JobScheduler scheduler, Supplier<SchedulerConfig> next) throws Exception {
+        CompletableFuture<Integer> hallCount = new CompletableFuture<>();
+        scheduler.reload(() -> {
+            hallCount.complete(scheduler.hallStates().join().size());
             return next.get();
         });
-        return seen.get();
+        return hallCount.get();
     }
 
     @Test
-    void hallsAreSwitchedOnKeptAndSwitchedOff() throws Exception {
-        OperatorSettings on = new OperatorSettings(OperatorSettings.HallSettings.defaults());
-        JobScheduler node = JobScheduler.start(setup(OperatorSettings.NONE));
+    void aBadReloadKeepsTheHallsAndAGoodOneSwitchesThem() throws Exception {
+        OperatorSettings hallsOn = new OperatorSettings(OperatorSettings.HallSettings.defaults());
+        JobScheduler scheduler = JobScheduler.start(schedulerConfig(OperatorSettings.NONE));
         try {
-            assertThat(halls(node, () -> setup(on))).isZero();
-            assertThat(halls(node, () -> {
+            assertThat(hallCountBeforeReload(scheduler, () -> schedulerConfig(hallsOn)))
+                    .isZero();
+            assertThat(hallCountBeforeReload(scheduler, () -> {
                         throw new ConfigException("operator.xml: line 3, column 7: halls: broken on purpose");
                     }))
                     .isEqualTo(2);
             // A preference for a hall that there is not: found only when the two files are put together.
-            assertThat(halls(
-                            node,
-                            () -> setup(OperatorSettings.parse(
+            assertThat(hallCountBeforeReload(
+                            scheduler,
+                            () -> schedulerConfig(OperatorSettings.parse(
                                     "f",
                                     "<operator xmlns=\"urn:barrowshore:operator:1\"><halls>"
                                             + "<preference of=\"nowhere\"><tier><hall name=\"a\"/></tier>"
                                             + "</preference></halls></operator>"))))
                     .isEqualTo(2);
-            assertThat(halls(node, () -> setup(OperatorSettings.NONE))).isEqualTo(2);
-            assertThat(halls(node, () -> setup(OperatorSettings.NONE))).isZero();
+            assertThat(hallCountBeforeReload(scheduler, () -> schedulerConfig(OperatorSettings.NONE)))
+                    .isEqualTo(2);
+            assertThat(hallCountBeforeReload(scheduler, () -> schedulerConfig(OperatorSettings.NONE)))
+                    .isZero();
         } finally {
-            node.stop();
+            scheduler.stop();
         }
     }
 }
--- a/src/test/java/barrowshore/node/ShutdownTest.java
+++ b/src/test/java/barrowshore/node/ShutdownTest.java
@@ -20,20 +20,21 @@
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownTest {
     @Test
-    void aStartToldToEndStillAnswersWhatHasCome() throws Exception {
+    void aProcessToldToEndWhileStartingAnswersItsClients() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             String config = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                     .replace("$D", "127.0.0.1:" + discovery.getLocalPort())
                     .replace("$S", "127.0.0.1:9")
                     .replace("\"deadline\":5000000", "\"deadline\":300000");
             CompletableFuture<JobScheduler> started = new CompletableFuture<>();
-            CompletableFuture<Integer> halted = new CompletableFuture<>();
-            Thread end = new Thread(JobScheduler.end(started, halted::complete));
-            end.start();
-            JobScheduler node = JobScheduler.start(new SchedulerConfig(Config.parse(config), OperatorSettings.NONE));
-            try (Socket client =
-                    new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
-                started.complete(node);
+            CompletableFuture<Integer> exitCode = new CompletableFuture<>();
+            Thread shutdown = new Thread(JobScheduler.shutdownTask(started, exitCode::complete));
+            shutdown.start();
+            JobScheduler scheduler =
+                    JobScheduler.start(new SchedulerConfig(Config.parse(config), OperatorSettings.NONE));
+            try (Socket client = new Socket(
+                    InetAddress.getLoopbackAddress(), scheduler.address().getPort())) {
+                started.complete(scheduler);
                 client.getOutputStream()
                         .write(("POST /order HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\n"
                                         + "X-Priority-Class: order\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 300\r\n"
@@ -44,21 +45,21 @@
                         .isEqualTo("HTTP/1.1 503");
                 in.readAllBytes();
             } finally {
-                assertThat(halted.get()).isEqualTo(0);
-                end.join();
-                node.stop();
+                assertThat(exitCode.get()).isEqualTo(0);
+                shutdown.join();
+                scheduler.stop();
             }
         }
     }
 
     @Test
-    void aStartThatFailsLeavesTheEndToWhoeverBeganIt() throws Exception {
+    void aFailedStartDoesNotHaltTheProcess() throws Exception {
         CompletableFuture<JobScheduler> started = new CompletableFuture<>();
-        CompletableFuture<Integer> halted = new CompletableFuture<>();
-        Thread end = new Thread(JobScheduler.end(started, halted::complete));
-        end.start();
+        CompletableFuture<Integer> exitCode = new CompletableFuture<>();
+        Thread shutdown = new Thread(JobScheduler.shutdownTask(started, exitCode::complete));
+        shutdown.start();
         started.completeExceptionally(new IllegalStateException("broken on purpose"));
-        end.join();
-        assertThat(halted).isNotDone();
+        shutdown.join();
+        assertThat(exitCode).isNotDone();
     }
 }
