--- a/src/main/java/barrowshore/node/JobScheduler.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -50,32 +50,38 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One scheduler, put together. It owns the pool, the timers' thread, the dialer and the listening socket, and the order
- * in which they start and end. It must never take part in a request's life.
+ * A running scheduler: assembles its parts and decides the order in which they start and stop. It owns the thread pool,
+ * the connection manager and the listening sockets. It takes no part in the handling of requests.
  */
 public final class JobScheduler {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.Node");
-    /** One core: the selector's thread and a few to run messages while one of them is on the module. */
+    /** Sized for one core: the selector's thread, one that runs the module, and the rest for other actors' messages. */
     private static final int POOL_THREADS = 4;
-    /** Descriptors kept for the JVM, the listening socket, discovery and the selector. */
+    /** For the JVM, the listening socket, service discovery and the selector. */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** Share of the other descriptors that goes to servers. */
+    /** Share of the remaining descriptors that connections to servers may use; clients get the rest. */
     private static final double SERVER_DESCRIPTOR_SHARE = 0.4;
-    /** Milliseconds after SIGTERM until the last new connections have come. */
+    /** Share of the clients' descriptors up to which no idle connection is closed. */
+    private static final double CLIENT_CONNECTION_SHARE = 0.9;
+
+    private static final int LISTEN_BACKLOG = 512;
+    /** After SIGTERM or a drain order, the last new connections come within this time. Idle ones are closed this often. */
     private static final long SETTLE_MILLIS = 500;
     /**
-     * After SIGTERM the process is let be for the longest deadline, or this where that is longer, and a little more;
-     * at the end of that time, room to answer what cannot be done any more, and before it, room for a usual job.
+     * The grace after SIGTERM, before the process may be killed, is the longest deadline of a class, at most this, plus
+     * {@link #EXTRA_GRACE_MILLIS}.
      */
     private static final long MAX_JOB_GRACE_MILLIS = 3000;
 
     private static final long EXTRA_GRACE_MILLIS = 700;
+    /** Left at the end of the grace to answer the requests that are still open. */
     private static final long FINAL_ANSWER_MILLIS = 150;
+    /** Clients that no other scheduler can take stay until this much of the grace is left: enough for a usual job. */
     private static final long USUAL_JOB_MILLIS = 800;
-    /** Milliseconds after SIGTERM before which the process does not end. */
+    /** After SIGTERM the process stays at least this long. */
     private static final long MIN_SHUTDOWN_MILLIS = 700;
 
-    /** How often is looked whether the configuration has changed, where no signal can tell. */
+    /** How often the configuration files are checked for changes where SIGHUP is ignored. */
     private static final long CONFIG_POLL_MILLIS = 250;
 
     private final ExecutorService pool = Executors.newFixedThreadPool(POOL_THREADS);
@@ -83,38 +89,42 @@
     private final ModuleActor module;
     private final ClientConnections clients;
     private final ServiceDiscovery discovery;
-    /** Where discovery and a watched file come together; null: there is discovery alone. */
+    /** Merges service discovery with the operators' servers file; null: there is no such file. */
     private final ServerListActor serverList;
 
     private final PeerMessenger peers;
     private final ConnectionManager connectionManager;
-    /** Where clients are heard; a process that follows another opens it only when it can serve. */
+    /** Accepts clients; during an upgrade the new process opens it only once it can serve. */
     private volatile ServerSocketChannel clientListener;
 
+    /** Completes once clients are accepted; exceptionally if the socket cannot be opened. */
     private final CompletableFuture<Void> listening = new CompletableFuture<>();
-    /** The other process of an upgrade; null: there can be none. */
+    /** Coordinates with the other process of an upgrade; null: this process cannot be upgraded while it runs. */
     private final UpgradeCoordinator upgrade;
-    /** Whether a process after us serves. */
+
     private volatile boolean successorServing;
-    /** Descriptors that go to servers, and to clients, while there is one process; and a part of them, if two. */
+    /** Descriptors for servers and for clients while this is the only process; see {@link #shareLimits}. */
     private final int serverDescriptors;
 
     private final int clientDescriptors;
     private boolean limitsShared;
-    /** The operators' door; null: none. */
+    /** Null: no operators' address is configured. */
     private final OpsServer opsServer;
-    /** Where we stand towards clients: set by orders from outside, read by the connections. */
+    /** Set by orders from operators and by SIGTERM, read by the clients' connections. */
     private final AtomicReference<ServiceState> serviceState = new AtomicReference<>(ServiceState.SERVING);
-    /** What is read again runs here, one file after the other. */
+    /** Runs reloads of the configuration one after the other. */
     private final Mailbox configMailbox = new Mailbox("the configuration", pool);
-    /** As last taken over. */
+    /** As last applied. */
     private volatile Config config;
-    /** The operators' servers' file; null: none. */
+    /** The operators' servers file; null: none. */
     private final OperatorSettings.ServersFileSettings serversFile;
-    /** The rules on halls last taken over. */
+    /** As last applied; null: halls are off. */
     private HallRules hallRules;
 
-    /** Starts a scheduler; the timers are started by the caller and stopped with the node. */
+    /**
+     * Starts a scheduler. The caller has started the timers; {@link #stop} stops them. upgradeSocket: the Unix socket by
+     * which the processes of an upgrade meet, or null.
+     */
     JobScheduler(
             SchedulerConfig schedulerConfig,
             Clock clock,
@@ -203,7 +213,7 @@
                         + (hallRules == null && serversFile == null
                                 ? ""
                                 : "; " + schedulerConfig.operatorSettings().summary()));
-        // Once ready, since a start is short of processor time.
+        // Delayed until ready, since processor time is short during a start.
         module.runWhenReady(() -> {
             List<String> unknown = config.unknownSettings();
             if (!unknown.isEmpty()) {
@@ -234,7 +244,7 @@
         listening.complete(null);
     }
 
-    /** From now on new clients come to us as well as to the process before us, until that one ends. */
+    /** Accepts clients on the predecessor's port: until it ends, new clients reach either process. */
     private void listenBesidePredecessor() {
         try {
             listenToClients();
@@ -247,11 +257,12 @@
         }
     }
 
+    /** The most client connections for so many descriptors; above it idle ones are closed. */
     private static int maxClientConnections(int descriptors) {
-        return (int) (descriptors * 0.9);
+        return (int) (descriptors * CLIENT_CONNECTION_SHARE);
     }
 
-    /** What the scheduler has is for one process, or for two. */
+    /** Sets whether two processes share the scheduler's limits; each then keeps two fifths of the descriptors. */
     private void shareLimits(boolean twoProcesses) {
         if (twoProcesses != limitsShared) {
             limitsShared = twoProcesses;
@@ -265,7 +276,6 @@
         }
     }
 
-    /** What the other process of an upgrade moves here. */
     private final class UpgradeHost implements UpgradeCoordinator.Host {
         @Override
         public ServiceState serviceState() {
@@ -288,11 +298,15 @@
         }
     }
 
-    /** The operators' order, by whatever way it came; false: we are ending. */
+    /** Drains or activates by the operators' order; false: not done, since the scheduler is ending. */
     private boolean applyDrain(boolean drain) {
         ServiceState state = serviceState.updateAndGet(drain ? ServiceState::drain : ServiceState::activate);
         if (!state.isEnding()) {
-            LOG.log(Level.INFO, drain ? "operators send clients away" : "operators want clients back");
+            LOG.log(
+                    Level.INFO,
+                    drain
+                            ? "drained by the operators: clients are sent away"
+                            : "activated by the operators: clients may stay");
             if (drain) {
                 timers.schedule(() -> closeIdleRepeatedly(state, true), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
             }
@@ -300,6 +314,7 @@
         return !state.isEnding();
     }
 
+    /** Like {@link #applyDrain}, and passes the order on to the other process of an upgrade. */
     private boolean orderDrain(boolean drain) {
         boolean applied = applyDrain(drain);
         if (applied && upgrade != null) {
@@ -308,7 +323,7 @@
         return applied;
     }
 
-    /** What operators may ask of it; all of it published values, so that no call waits for an actor. */
+    /** Answers operators' calls from published values, so that no call waits for an actor. */
     private final class OpsControl implements OpsServer.SchedulerControl {
         @Override
         public boolean isReady() {
@@ -333,7 +348,10 @@
         }
     }
 
-    /** Again and again while clients are to leave: an answer may have been on its way as they were sent. */
+    /**
+     * Closes idle connections at intervals until the state changes: one with an answer on its way is not idle yet.
+     * includeUnanswered: also those that have had no answer to a job yet.
+     */
     private void closeIdleRepeatedly(ServiceState expectedState, boolean includeUnanswered) {
         if (serviceState.get().changeCount() == expectedState.changeCount()) {
             clients.closeIdle(includeUnanswered);
@@ -347,24 +365,24 @@
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             listener.setOption(StandardSocketOptions.SO_REUSEPORT, sharedPort);
-            return listener.bind(address, 512);
+            return listener.bind(address, LISTEN_BACKLOG);
         } catch (IOException | RuntimeException e) {
             listener.close();
             throw new ConfigException(field + ": cannot listen on " + address + ": " + e.getMessage());
         }
     }
 
-    /** Serves until SIGTERM; then goes on until all is answered and the clients' connections are gone. */
+    /** Serves until SIGTERM, and after it until all requests are answered and the clients' connections closed. */
     public static void serve(ConfigFiles files) throws Exception {
         CompletableFuture<JobScheduler> started = new CompletableFuture<>();
-        // Guards against the JVM's own way with SIGHUP, which is to end: in place before there is anything to end.
+        // Installed first: by default SIGHUP ends the JVM.
         boolean hangUpHandled = handleHangUp(() -> started.thenAccept(scheduler -> scheduler.reload(files::read)));
         SchedulerConfig schedulerConfig = files.read();
         Config config = schedulerConfig.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
         String tempFolder = System.getenv("TMPDIR");
-        // In place before clients can come: a start that is told to end has taken what came while it was not yet done.
+        // Installed before clients are accepted: a SIGTERM during the start must still answer those that came.
         Runtime.getRuntime().addShutdownHook(new Thread(shutdownTask(started, Runtime.getRuntime()::halt), "drain"));
         JobScheduler scheduler;
         try {
@@ -384,7 +402,7 @@
         if (!hangUpHandled) {
             LOG.log(
                     Level.WARNING,
-                    "SIGHUP is ignored, as under nohup: the configuration is looked at now and then instead");
+                    "SIGHUP was ignored at the start (as under nohup): the configuration is polled for changes");
             scheduler.pollConfig(files);
         }
         try {
@@ -395,23 +413,22 @@
         new CountDownLatch(1).await();
     }
 
-    /** Ends a scheduler in good order, once it has started; one that never does leaves the end to whoever began it. */
+    /** Drains a scheduler once it has started, then halts; after a failed start it does nothing. */
     static Runnable shutdownTask(CompletableFuture<JobScheduler> started, IntConsumer halt) {
         return () -> {
             try {
                 JobScheduler scheduler = started.get();
                 scheduler.drain().await();
-                halt.accept(
-                        scheduler.listening.isCompletedExceptionally() ? 2 : 0); // no orderly end, if it never opened
+                halt.accept(scheduler.listening.isCompletedExceptionally() ? 2 : 0); // 2: it never accepted clients
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (ExecutionException e) {
-                LOG.log(Level.DEBUG, "ended before it had started", e);
+                LOG.log(Level.DEBUG, "shut down before the scheduler had started: nothing to drain", e);
             }
         };
     }
 
-    /** Starts a scheduler inside another program, which stops it. */
+    /** Starts a scheduler inside another program, which must call {@link #stop}. */
     public static JobScheduler start(SchedulerConfig schedulerConfig) throws Exception {
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
@@ -423,21 +440,21 @@
                 actions -> new Dispatcher(schedulerConfig.config().settings(), actions));
     }
 
-    /** Where each hall stands with it, by number; empty where halls are off. */
+    /** The state of each hall, by its number; empty if halls are off. */
     public CompletableFuture<List<HallState>> hallStates() {
         CompletableFuture<List<HallState>> states = new CompletableFuture<>();
         module.inspect(dispatcher -> states.complete(dispatcher.hallStates()));
         return states;
     }
 
-    /** Slots that its jobs hold in a hall other than its own. */
+    /** Slots that this scheduler's jobs hold in the given hall, if it is not its own. */
     public CompletableFuture<Double> spilledSlots(int hall) {
         CompletableFuture<Double> slots = new CompletableFuture<>();
         module.inspect(dispatcher -> slots.complete(dispatcher.spilledSlots(hall)));
         return slots;
     }
 
-    /** Asks itself for a job of the first class over a socket, as a client would, and ends. */
+    /** Starts a scheduler, sends it a job of the first class and the operators' calls over sockets, and stops it. */
     public static void rehearse(SchedulerConfig schedulerConfig) throws Exception {
         Config config = schedulerConfig.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
@@ -470,9 +487,9 @@
     }
 
     /**
-     * The JDK has no other way to take a signal; a shutdown hook hears of SIGHUP too, but cannot stop the end. By
-     * reflection, since every direct use of this class is a warning that nothing silences. False: the signal was ignored
-     * when the process started, and the JVM leaves it so.
+     * Handles SIGHUP by the action; false: it was ignored when the process started, which the JVM does not change.
+     * sun.misc.Signal is the only way: a shutdown hook also runs on SIGHUP but cannot stop the exit. It is used by
+     * reflection, since direct use gives a compiler warning that cannot be suppressed.
      */
     static boolean handleHangUp(Runnable action) {
         try {
@@ -483,7 +500,7 @@
                             action.run();
                             return null;
                         }
-                        return method.invoke(action, args); // what every object can be asked
+                        return method.invoke(action, args); // methods of Object
                     });
             Object previous = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
@@ -494,7 +511,7 @@
         }
     }
 
-    /** Stands in for a signal that cannot be heard: a file that has changed is read as if it had come. */
+    /** Reloads the configuration if its file has changed; stands in for SIGHUP. */
     void reloadIfChanged(ConfigFiles files) {
         configMailbox.post(() -> {
             if (files.isConfigChanged()) {
@@ -513,7 +530,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Reads the configuration again and takes over what may change while requests are open; a bad one changes nothing. */
+    /** Reads the configuration again and applies the fields that need no restart; an invalid one changes nothing. */
     void reload(Supplier<SchedulerConfig> source) {
         configMailbox.post(() -> module.countReload(applyConfig(source)));
     }
@@ -522,16 +539,16 @@
         try {
             SchedulerConfig schedulerConfig = source.get();
             Config newConfig = schedulerConfig.config().asReloadOf(config);
-            LOG.log(Level.INFO, "configuration read again: discovery {0}", newConfig.discovery());
+            LOG.log(Level.INFO, "configuration reloaded: discovery at {0}", newConfig.discovery());
             List<String> needingRestart = config.fieldsNeedingRestart(schedulerConfig.config());
             if (!needingRestart.isEmpty()) {
                 LOG.log(
                         Level.WARNING,
-                        "changed, but taken over only at a start: {0}",
+                        "configuration fields changed that take effect only at a restart: {0}",
                         String.join(", ", needingRestart));
             }
             if (!Objects.equals(serversFile, schedulerConfig.operatorSettings().servers())) {
-                LOG.log(Level.WARNING, "operators' settings: servers changed, but is taken over only at a start");
+                LOG.log(Level.WARNING, "operator settings: servers changed, which takes effect only at a restart");
             }
             module.changeSettings(newConfig.settings(), newConfig.classes());
             clients.updateSettings(newConfig);
@@ -543,7 +560,7 @@
                 module.changeHallRules(hallRules);
                 LOG.log(
                         Level.INFO,
-                        "operators' settings read again: {0}",
+                        "operator settings reloaded: {0}",
                         schedulerConfig.operatorSettings().summary());
             }
             return true;
@@ -553,10 +570,10 @@
         }
     }
 
-    /** Begins the end: all is answered and the clients are gone once the latch is down. */
+    /** Begins the shutdown; the latch opens once all requests are answered and the clients' connections closed. */
     CountDownLatch drain() {
         CountDownLatch ended = new CountDownLatch(1);
-        AtomicInteger pendingParts = new AtomicInteger(3);
+        AtomicInteger pendingParts = new AtomicInteger(3); // clients gone, requests answered, minimum time over
         Runnable partDone = () -> {
             if (pendingParts.decrementAndGet() == 0) {
                 closeClientListener(ended);
@@ -570,8 +587,8 @@
         long graceMillis = Math.min(MAX_JOB_GRACE_MILLIS, deadlineMillis) + EXTRA_GRACE_MILLIS;
         clients.scheduleEnd(graceMillis - FINAL_ANSWER_MILLIS);
         module.scheduleFinalAnswers(graceMillis - FINAL_ANSWER_MILLIS);
-        // Guards clients against a gap: schedulers restarted one after the other were once all closed to new
-        // connections for 2 s. So the first one's clients go to the others in time, and the last one's stay.
+        // Schedulers restarted one after the other were once all closed to new connections for 2 s. So clients are sent
+        // away early only if another scheduler serves; else they stay as long as possible.
         Consumer<Boolean> releaseClients = othersServe -> timers.schedule(
                 () -> {
                     closeIdleRepeatedly(serviceState.updateAndGet(ServiceState::closeConnections), true);
@@ -581,7 +598,7 @@
                 othersServe ? SETTLE_MILLIS : Math.max(SETTLE_MILLIS, graceMillis - USUAL_JOB_MILLIS),
                 TimeUnit.MILLISECONDS);
         if (successorServing) {
-            // The process after us has our clients and speaks to our peers; what we have taken is ours to answer.
+            // The successor accepts clients and talks to peers; this process only answers the requests that it has.
             connectionManager.stopListening(clientListener, () -> {});
             if (peers != null) {
                 peers.stopReceiving();
@@ -598,8 +615,8 @@
     }
 
     /**
-     * Nothing is open any more, but as long as we listen somebody may have come since: the queue of those that wait to be
-     * taken in is emptied before the socket is closed, and they get their answers too.
+     * Stops listening once nothing is open. Clients may still wait in the accept queue: they are accepted before the socket
+     * is closed, and get their answers too.
      */
     private void closeClientListener(CountDownLatch ended) {
         ServerSocketChannel listener = clientListener;
@@ -611,27 +628,27 @@
         }
     }
 
-    /** Where it listens. */
+    /** The address on which clients are accepted. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) clientListener.getLocalAddress();
     }
 
-    /** Where it listens to operators. */
+    /** The address of the operators' server. */
     InetSocketAddress opsAddress() throws IOException {
         return opsServer.address();
     }
 
-    /** Whether a process after this one serves. */
+    /** Whether the successor of an upgrade serves clients. */
     boolean isSuccessorServing() {
         return successorServing;
     }
 
-    /** Whether new clients may come to this process. */
+    /** Whether this process accepts new clients. */
     boolean isListening() {
         return clientListener != null && clientListener.isOpen();
     }
 
-    /** Stops at once; what is open is lost. */
+    /** Stops at once; open requests are lost. */
     public void stop() throws IOException {
         if (clientListener != null) {
             clientListener.close();
--- a/src/main/java/barrowshore/node/ModuleActor.java
+++ b/src/main/java/barrowshore/node/ModuleActor.java
@@ -31,23 +31,23 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The actor round the decision module. It owns the module, every open request with its deadline timer and its attempts,
- * and the servers' actors. It gives each request one final answer inside its deadline whether or not the module does,
- * and the module one outcome for each send. It must never choose, repeat or refuse anything by itself, but for a request
- * that the module leaves unanswered when its time is up.
+ * The actor that runs the dispatch module. It owns the module, the open requests with their deadline timers and attempts,
+ * and the servers' actors. Each request gets exactly one answer within its deadline, even if the module gives none,
+ * and the module gets one outcome per attempt. Apart from that fallback, and the answers as the process exits, all
+ * decisions are the module's.
  */
 final class ModuleActor implements DispatchApi.Actions, JobRequest.RequestHandler {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.ModuleActor");
-    /** A probe that has told nothing by then tells nothing of the present any more. */
+    /** An answer that takes longer says nothing about the server's present load. */
     private static final long PROBE_TIMEOUT_MILLIS = 1000;
 
-    /** When one that is turned down as the process ends may come again, in microseconds: others take new ones at once. */
+    /** For requests rejected at shutdown; short, since other schedulers accept them at once. */
     private static final long SHUTDOWN_RETRY_AFTER_MICROS = 100_000;
 
-    /** Ids of served requests kept: a minute or so at the usual load. */
+    /** Covers about a minute at the usual load. */
     private static final int MAX_SERVED_IDS = 2048;
 
-    /** How often is counted anew what changes without an event. */
+    /** How often metrics that change without an event are recomputed. */
     private static final long PUBLISH_INTERVAL_MILLIS = 100;
 
     private final Clock clock;
@@ -59,18 +59,18 @@
     private final Map<String, OpenRequest> requests = new HashMap<>();
     private final Map<String, Server> servers = new HashMap<>();
     private final Set<String> listedServers = new HashSet<>();
-    /** Ids of requests lately served, oldest first: an id is new with every request, so these are taken too. */
+    /** Ids of recently served requests, oldest first; a new request must not reuse them. */
     private final Set<String> servedIds = new LinkedHashSet<>();
 
     private int maxAttempts;
     private final SchedulerCounters counters = new SchedulerCounters();
-    /** Figures as of the last change, for whoever reads them; written here alone. */
+    /** Metrics as of the last change; written by the actor only, read by any thread. */
     private volatile SchedulerMetrics metrics = SchedulerMetrics.NONE;
 
     private boolean publishing;
     private int openRequestCount;
     private int skippedServerCount;
-    /** Those listed that want nothing new. */
+    /** Listed servers that accept no new jobs. */
     private final Set<String> terminatingServers = new HashSet<>();
 
     private final List<Runnable> readyListeners = new ArrayList<>();
@@ -97,14 +97,14 @@
         this.module = newModule.apply(this);
     }
 
-    /** A request and what has become of it; kept until it is answered and no attempt is out. */
+    /** A request and its attempts; kept until it is answered and no attempt is pending. */
     private static final class OpenRequest {
         final JobRequest request;
         final JobRequest.Client client;
         final List<Attempt> attempts = new ArrayList<>(2);
         Scheduler.Task deadlineTimer;
         int pendingAttempts;
-        /** Written by the actor alone; read by servers, as they are about to begin an attempt. */
+        /** Written by the actor only; read by servers' actors before they begin an attempt. */
         volatile boolean answered;
 
         OpenRequest(JobRequest request, JobRequest.Client client) {
@@ -113,17 +113,17 @@
         }
     }
 
-    /** One attempt: what the server reports comes back here, through the mailbox. */
+    /** One attempt; the server's reports come in here and are handled in the mailbox. */
     private final class Attempt implements Server.Attempt {
         final OpenRequest openRequest;
         final int number;
         final Server server;
         final long sentMicros;
-        /** When its first byte must have gone, by the window of an earlier one that may have run. */
+        /** Latest time to write its first byte: the end of the repeat window of an earlier attempt that may have run. */
         final long startByMicros;
 
         Scheduler.Task timeoutTimer;
-        /** Written by the actor alone; read by its server, as it is about to begin. */
+        /** Written by the actor only; read by the server's actor before it begins. */
         volatile boolean ended;
 
         boolean neverRan;
@@ -155,8 +155,7 @@
         @Override
         public boolean mayBegin() {
             long now = clock.micros();
-            // What the actor knows may wait for its turn at the server: an end since counts from the moment it is
-            // known.
+            // Called by the server's actor: an end that the actor here knows counts before the server is told of it.
             boolean stillWanted = !ended && !openRequest.answered && !openRequest.client.isGone();
             return stillWanted && now < startByMicros && now < openRequest.request.deadlineMicros();
         }
@@ -190,7 +189,7 @@
         }
     }
 
-    // What the actor is told.
+    // Messages to the actor.
 
     void start() {
         mailbox.post(() -> {
@@ -199,8 +198,8 @@
     }
 
     /**
-     * Discovery has told no list for long enough, or has nothing against the list known from before: that has to do. How
-     * long is enough, {@link barrowshore.servers.ServiceDiscovery} decides.
+     * Uses the configured known servers, unless a list has come. {@link barrowshore.servers.ServiceDiscovery} calls it when
+     * discovery has sent no list for too long, or nothing newer than the known one.
      */
     void useKnownServers(ServerList.Update known) {
         mailbox.post(() -> {
@@ -221,42 +220,42 @@
         });
     }
 
-    /** Other settings from now on, with the names of their classes by number. */
-    void changeSettings(Settings next, List<String> classes) {
+    /** Changes the settings; classes: names by class number. */
+    void changeSettings(Settings newSettings, List<String> classes) {
         mailbox.post(() -> {
-            maxAttempts = next.maxAttempts;
+            maxAttempts = newSettings.maxAttempts;
             counters.setClasses(classes);
-            callModule(null, () -> module.changeSettings(nowMicros(), next));
+            callModule(null, () -> module.changeSettings(nowMicros(), newSettings));
             publish();
         });
     }
 
-    /** The operators' rules on halls have changed. */
+    /** Changes the operators' hall rules; null: halls are off. */
     void changeHallRules(HallRules rules) {
         mailbox.post(() -> callModule(null, () -> module.changeHallRules(nowMicros(), rules)));
     }
 
-    /** Which part of what is due to this scheduler is this process's. */
+    /** Sets the part (0 to 1) of this scheduler's share that this process may use. */
     void setDispatcherShare(double share) {
         mailbox.post(() -> callModule(null, () -> module.setDispatcherShare(share)));
     }
 
-    /** Shows the module to one who only looks. */
+    /** Runs a reader of the module in the actor; it must not change the module. */
     void inspect(Consumer<DispatchApi> reader) {
         mailbox.post(() -> reader.accept(module));
     }
 
-    /** Another scheduler has told us something. */
+    /** Passes on a message of another scheduler. */
     void receivePeerMessage(int from, byte[] message) {
         mailbox.post(() -> callModule(null, () -> module.peerMessage(nowMicros(), from, message)));
     }
 
-    /** The figures as of the last change; may be asked from anywhere. */
+    /** The metrics as of the last change; may be called from any thread. */
     SchedulerMetrics metrics() {
         return metrics;
     }
 
-    /** A changed file was taken over, or turned down. */
+    /** Counts a reload of the configuration, applied or rejected. */
     void countReload(boolean applied) {
         mailbox.post(() -> {
             counters.countReload(applied);
@@ -272,7 +271,7 @@
         });
     }
 
-    /** From now on figures are published after each change; until then nobody reads them. */
+    /** Starts publishing metrics after each change; without an operators' address nobody reads them. */
     void startPublishing() {
         mailbox.post(() -> {
             publishing = true;
@@ -286,23 +285,23 @@
         }
     }
 
-    /** What ages without an event, as which servers are avoided, is looked at now and then. */
+    /** Publishes at intervals, since the number of avoided servers changes with time alone. */
     private void publishPeriodically() {
         callModule(null, () -> skippedServerCount = terminatingServers.size() + module.countAvoided(nowMicros()));
         publish();
         timers.schedule(() -> mailbox.post(this::publishPeriodically), PUBLISH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Answers whether the list has come and the tables are built. */
+    /** Answers whether the server list has come and the index tables are built. */
     @Override
     public void askReady(Consumer<Boolean> asker) {
         mailbox.post(() -> asker.accept(listReceived));
     }
 
-    /** Runs the message once requests can be served. */
-    void runWhenReady(Runnable message) {
+    /** Runs the callback once requests can be served. */
+    void runWhenReady(Runnable callback) {
         mailbox.post(() -> {
-            readyListeners.add(message);
+            readyListeners.add(callback);
             notifyIfReady();
         });
     }
@@ -315,7 +314,7 @@
         publish();
     }
 
-    /** Answers every open request that is not answered by so many milliseconds from now: the process ends after that. */
+    /** Answers every request still open after so many milliseconds; the process exits after that. */
     void scheduleFinalAnswers(long millis) {
         timers.schedule(
                 () -> mailbox.post(() -> List.copyOf(requests.values()).forEach(this::answerBeforeExit)),
@@ -324,8 +323,8 @@
     }
 
     /**
-     * The process ends before the request's time is up: it is answered first, since the module, told that its attempts are
-     * over, would send it again. What cannot have run, or may run again, others can do.
+     * Answers a request before the process exits. It is answered before its attempts end, or the module would repeat it. The
+     * client is told to retry elsewhere only if the request cannot have run or may run twice.
      */
     private void answerBeforeExit(OpenRequest openRequest) {
         if (!openRequest.answered) {
@@ -340,10 +339,10 @@
         }
     }
 
-    /** Runs the message once no request is open. */
-    void runWhenIdle(Runnable message) {
+    /** Runs the callback once every request is answered. */
+    void runWhenIdle(Runnable callback) {
         mailbox.post(() -> {
-            idleListeners.add(message);
+            idleListeners.add(callback);
             notifyIfIdle();
         });
     }
@@ -388,7 +387,7 @@
         });
     }
 
-    /** The client waits no more: nothing that has not begun is to begin. */
+    /** Closes a request whose client has gone: no further attempt begins. */
     private void closeAbandoned(OpenRequest openRequest) {
         if (!openRequest.answered) {
             markAnswered(openRequest);
@@ -431,7 +430,7 @@
         callModule(null, () -> module.list(nowMicros(), kind, members));
     }
 
-    /** The time of a request is up: its attempts time out, and if the module has no answer it gets ours. */
+    /** Handles a request's deadline: times out its attempts, and answers if the module does not. */
     private void expireRequest(OpenRequest openRequest) {
         if (openRequest.answered) {
             return;
@@ -440,14 +439,14 @@
             abandonAttempt(attempt, Status.TIMEOUT);
         }
         if (!openRequest.answered) {
-            // Guards against a module that fell silent: the client still waits, and a rule is at stake.
+            // Guards against a module that gives no answer: the client must get one within its deadline.
             answer(openRequest, new JobRequest.Failed(true));
             callModule(openRequest, () -> module.clientGone(nowMicros(), openRequest.request.id()));
             forgetIfFinished(openRequest);
         }
     }
 
-    /** Stops waiting for an attempt; one that was never sent has no server to tell. */
+    /** Stops waiting for an attempt; it has no server if the module named an unknown one. */
     private void abandonAttempt(Attempt attempt, Status status) {
         if (!attempt.ended) {
             if (attempt.server != null) {
@@ -468,7 +467,7 @@
         }
         OpenRequest openRequest = attempt.openRequest;
         if (openRequest.client.isGone()) {
-            closeAbandoned(openRequest); // before the module hears of the end, and repeats what nobody waits for
+            closeAbandoned(openRequest); // before the module hears of the outcome and repeats the request
         }
         openRequest.pendingAttempts--;
         if (status == Status.OK && !openRequest.answered) {
@@ -493,12 +492,15 @@
         forgetIfFinished(openRequest);
     }
 
-    /** Runs a call of the module; an exception in it costs at most the request that it was about. */
+    /** Calls the module; an exception fails at most the request that the call was about. */
     private void callModule(OpenRequest openRequest, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "the module failed", e);
+            LOG.log(
+                    Level.ERROR,
+                    "the dispatch module threw an exception; the call's request fails if no attempt is pending",
+                    e);
             if (openRequest != null && !openRequest.answered && openRequest.pendingAttempts == 0) {
                 answer(openRequest, new JobRequest.Failed(false));
                 forgetIfFinished(openRequest);
@@ -508,7 +510,7 @@
 
     private void markAnswered(OpenRequest openRequest) {
         openRequest.answered = true;
-        // Whether or not the settings let attempts be called off: one that has not begun is not to begin any more.
+        // Even if the settings forbid cancelling: an attempt that has not begun is not cancelled but never sent.
         openRequest.attempts.stream()
                 .filter(attempt -> !attempt.ended && attempt.server != null)
                 .forEach(attempt -> attempt.server.cancelIfUnsent(attempt));
@@ -545,14 +547,14 @@
         }
     }
 
-    // What the module orders.
+    // Actions of the module.
 
     @Override
     public void send(String id, String worker, long timeoutMicros) {
         OpenRequest openRequest = requests.get(id);
         Server server = servers.get(worker);
         if (openRequest == null) {
-            LOG.log(Level.ERROR, "the module sent request {0}, which is not open", id);
+            LOG.log(Level.ERROR, "the dispatch module sent request {0}, which is not open; nothing is sent", id);
             return;
         }
         Attempt attempt = new Attempt(openRequest, openRequest.attempts.size(), server, nowMicros());
@@ -593,7 +595,7 @@
     public void cancel(String id, int attempt) {
         OpenRequest openRequest = requests.get(id);
         if (openRequest != null && attempt >= 0 && attempt < openRequest.attempts.size()) {
-            // After the call that orders it: the module is not told of an end while it is at work on another.
+            // Posted, so that the module is not called with the outcome while it is still in the call that cancels.
             mailbox.post(() -> abandonAttempt(openRequest.attempts.get(attempt), Status.CANCELLED));
         }
     }
@@ -627,7 +629,7 @@
 
     @Override
     public void watchList() {
-        // The service discovery's watch is open from the start and stays so.
+        // Service discovery is watched from the start.
     }
 
     @Override
--- a/src/main/java/barrowshore/node/ServerListActor.java
+++ b/src/main/java/barrowshore/node/ServerListActor.java
@@ -17,9 +17,9 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Where several sources of servers come together: discovery, and a watched file. An actor; it owns the
- * {@link ServerListMerger}, the watch of the file and the timer of graces. What wins, the book decides; it must never
- * tell the module half of what a source said at once.
+ * The actor that merges the server lists of service discovery and of a watched file. It owns the
+ * {@link ServerListMerger}, which decides which source wins, the file's watch and the timer of the sources' grace
+ * periods. It passes on an update of a source as a whole, never in parts.
  */
 final class ServerListActor {
     private static final String DISCOVERY = "discovery", FILE = "file";
@@ -31,8 +31,8 @@
     private final Consumer<Update> listener;
     private final WatchedFile watchedFile;
     /**
-     * When a server was first named by the file: it counts as started then, unless it is said to be warm. What the
-     * first file names was there before us, as far as anybody knows.
+     * When the file first listed each server, by uid. It counts as the server's start time unless the file marks the server
+     * as warm. Servers in the first file read get 0, since they were probably running before this process.
      */
     private final Map<String, Long> firstListedMicros = new HashMap<>();
 
@@ -49,7 +49,7 @@
         this.clock = clock;
         this.timers = timers;
         this.listener = listener;
-        this.mailbox = new Mailbox("the list", pool);
+        this.mailbox = new Mailbox("the server list", pool);
         merger.addSource(DISCOVERY, settings.fileOverridesDiscovery() ? 2 : 1, 0);
         merger.addSource(FILE, settings.fileOverridesDiscovery() ? 1 : 2, 0);
         this.watchedFile = new WatchedFile(
@@ -68,12 +68,12 @@
                         mailbox.post(() -> applyFile(FILE, update, list));
                         return null;
                     } catch (RuntimeException e) {
-                        return e; // its names do not fit the configuration
+                        return e; // the file names zones or models that the configuration lacks
                     }
                 });
     }
 
-    /** Discovery has told a list or a change of it. */
+    /** Applies a full list or a change from service discovery. */
     void applyDiscovery(Update update) {
         mailbox.post(() -> notifyListener(merger.apply(clock.micros(), DISCOVERY, update)));
     }
@@ -83,7 +83,7 @@
         notifyListener(merger.apply(clock.micros(), source, update));
     }
 
-    /** The first word replaces what was known from before; then changes do. */
+    /** Passes on the whole merged list the first time, which replaces the known servers, and changes after that. */
     private void notifyListener(Update changes) {
         if (!listSent) {
             listSent = true;
--- a/src/main/java/barrowshore/node/UpgradeCoordinator.java
+++ b/src/main/java/barrowshore/node/UpgradeCoordinator.java
@@ -7,25 +7,26 @@
 import java.util.concurrent.Executor;
 
 /**
- * What two processes of one scheduler owe each other while both are there: who speaks to clients and peers, what each
- * may use of what the scheduler has, and what the later one is told. It owns the twin's link and nothing else; all of it
- * runs in the twin's mailbox. It must never make a process wait for the other.
+ * Coordinates the old and the new process of a scheduler while both run during an upgrade: they share the scheduler's
+ * limits and pass on the operators' drain orders, and the new one announces when it serves. It owns the
+ * {@link UpgradeLink}, in whose mailbox its callbacks run. Neither process ever waits for the other.
  */
 final class UpgradeCoordinator implements UpgradeLink.Listener {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.Succession");
+    /** Lines of the link's protocol: clients are sent away, clients are accepted again, this process serves. */
     private static final String AWAY = "away", BACK = "back", SERVING = "serving";
 
-    /** What it moves in its own process. */
+    /** The scheduler of this process. */
     interface Host {
         ServiceState serviceState();
 
-        /** The operators' order came by the other process. */
+        /** Drains or activates this process, by an order that the other process received. */
         void applyDrain(boolean drain);
 
-        /** Whether there are two processes that share what the scheduler has. */
+        /** Sets whether this process shares the scheduler's limits with a second one. */
         void shareLimits(boolean twoProcesses);
 
-        /** Whether the process after us serves. */
+        /** Sets whether the successor serves clients. */
         void setSuccessorServing(boolean serving);
     }
 
@@ -40,7 +41,7 @@
         this.predecessorAlive = link.foundPredecessor();
     }
 
-    /** Whether this process follows another that is still there. */
+    /** Whether an older process was running when this one started. */
     boolean hasPredecessor() {
         return link.foundPredecessor();
     }
@@ -49,12 +50,12 @@
         link.start();
     }
 
-    /** We listen to clients from now on. */
+    /** Tells the predecessor that this process listens to clients from now on. */
     void announceServing() {
         link.send(true, SERVING);
     }
 
-    /** The operators' order came by us. */
+    /** Passes on an order that this process received from the operators. */
     void announceDrain(boolean drain) {
         link.send(true, drain ? AWAY : BACK);
         link.send(false, drain ? AWAY : BACK);
@@ -80,7 +81,7 @@
                     host.setSuccessorServing(true);
                 }
             }
-            default -> {} // a later version may say more
+            default -> {} // lines that a later version may add
         }
     }
 
