--- a/src/test/java/barrowshore/node/ClientGoneTest.java
+++ b/src/test/java/barrowshore/node/ClientGoneTest.java
@@ -59,14 +59,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A client leaves while an attempt at its request is about to begin: nothing of that request may reach a worker after it.
- * Clients and workers are real sockets; the module is a script that repeats and copies whatever it may. Mailboxes and
- * selectors are held, so that the departure comes first each time, once heard of and once only in the socket.
+ * Guards against attempts that begin after their client has left: none may reach a worker. Clients and workers are real
+ * sockets; the module is a script that repeats and copies whenever it may. Mailboxes and selectors are held, so that the
+ * client always leaves first, either detected or only visible in the socket.
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ClientGoneTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    /** The delays by which the script's timers are known among all others, in microseconds. */
+    /** Unusual delays, by which the test's timers recognize those that the scripted module sets. */
     private static final long SECOND_COPY_DELAY_MICROS = 77_777;
 
     private static final long ATTEMPT_LIMIT_MICROS = 88_888;
@@ -81,7 +81,7 @@
         RESET
     }
 
-    /** How a client leaves; noticed: its connection's actor has heard of it, else the selector has yet to look. */
+    /** How a client leaves; detected: its connection's actor knows, else the selector has yet to read the socket. */
     private record Departure(LeaveMode mode, boolean detected) {}
 
     static Stream<Departure> departures() {
@@ -100,9 +100,10 @@
     private final BlockingQueue<EndPoint> accepted = new LinkedBlockingQueue<>();
     private final RecordingHandler requestHandler = new RecordingHandler();
     private final List<AutoCloseable> resources = new ArrayList<>();
-    /** Ids of requests that the module was told have ended with an attempt, or before; and of those that have not. */
+    /** Ids of the requests of which the module was told an attempt's outcome after they were closed. */
     private final List<String> outcomesAfterClose = new CopyOnWriteArrayList<>();
 
+    /** The same, while they were still open. */
     private final List<String> outcomesWhileOpen = new CopyOnWriteArrayList<>();
 
     private ServerSocketChannel clientListener;
@@ -110,7 +111,7 @@
     private ClientConnections clientConnections;
     private ModuleActor module;
 
-    /** Timers that never run by themselves; those that the script sets are kept. */
+    /** Timers that never fire by themselves; those of the scripted module are kept for the test to run. */
     private static final class ScriptTimers extends AbstractLifeCycle implements Scheduler {
         final BlockingQueue<Runnable> secondCopies = new LinkedBlockingQueue<>();
         final BlockingQueue<Runnable> attemptLimits = new LinkedBlockingQueue<>();
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Runs an actor's turns in the poster's thread; while it is held they are kept for whoever releases it. */
+    /** Runs an actor's turns in the posting thread, or, while it is held, in the thread that releases it. */
     private static final class HeldExecutor implements Executor {
         private final Queue<Runnable> waiting = new ArrayDeque<>();
         private boolean held;
@@ -156,7 +157,7 @@
             }
         }
 
-        /** Returns once no turn is under way. */
+        /** Returns once no turn is running. */
         synchronized void awaitIdle() throws InterruptedException {
             while (running > 0) {
                 wait();
@@ -186,7 +187,7 @@
         }
     }
 
-    /** Hands on to the module's actor, and counts what it has handed on. */
+    /** Passes calls on to the module's actor and counts them. */
     private final class RecordingHandler implements JobRequest.RequestHandler {
         final Semaphore submittedCount = new Semaphore(0);
         final Semaphore goneCount = new Semaphore(0);
@@ -212,7 +213,7 @@
         }
     }
 
-    /** A client with one request under way. */
+    /** A client with one open request. */
     private static final class WaitingClient implements AutoCloseable {
         final Socket socket;
         final EndPoint schedulerEnd;
@@ -230,18 +231,18 @@
                     socket.setSoLinger(true, 0);
                     socket.close();
                 }
-                default -> throw new IllegalArgumentException("no such way: " + mode);
+                default -> throw new IllegalArgumentException("unknown leave mode: " + mode);
             }
         }
 
-        /** Waits until its connection's actor has read all and waits for the selector. */
+        /** Waits until the scheduler has read all input and waits for more. */
         void awaitAllRead() {
             while (!schedulerEnd.isFillInterested()) {
                 Thread.onSpinWait();
             }
         }
 
-        /** Waits until its end is in our socket, which it has nothing else to read from. */
+        /** Waits until the end of the connection can be read from the scheduler's socket, which holds no other input. */
         void awaitEndInSocket() throws IOException {
             SocketChannel channel = ((SocketChannelEndPoint) schedulerEnd).getChannel();
             try (Selector selector = Selector.open()) {
@@ -305,7 +306,7 @@
         pool.shutdownNow();
     }
 
-    /** One connection each, so that what comes next shows what came before. */
+    /** At most one connection, so that the next request on it shows that nothing was sent before. */
     private Server newServer(String uid) {
         int k = uid.equals("s-1") ? FIRST_WORKER : SECOND_WORKER;
         return new Server(uid, serverExecutors[k], serverConnections[k], timers, 60_000_000, 1);
@@ -317,8 +318,8 @@
     }
 
     /**
-     * A module that sends each request to the server that its id begins with, repeats at the second what has failed, and
-     * sends a second copy there, whose time is limited, where the id says so.
+     * A module that sends requests to the server that their id begins with, repeats failed ones at the second server, and
+     * sends a second copy, with a timeout, there if the id contains "copied".
      */
     private DispatchApi scriptedModule(Actions actions) {
         return (DispatchApi) Proxy.newProxyInstance(
@@ -352,7 +353,7 @@
                 });
     }
 
-    /** A client whose request has been handed on. */
+    /** Opens a client whose request has reached the module's actor. */
     private WaitingClient openClient(String id) throws Exception {
         Socket socket = new Socket(LOOPBACK, clientListener.socket().getLocalPort());
         resources.add(socket);
@@ -367,7 +368,7 @@
         return client;
     }
 
-    /** All of them leave; returns once that is known as far as it is to be. */
+    /** Lets the clients leave; returns once that is detected, or once it can be read from their sockets. */
     private void leaveAll(Departure departure, List<WaitingClient> clients) throws Exception {
         if (!departure.detected()) {
             resources.add(new HeldSelector(clientConnectionManager));
@@ -396,7 +397,7 @@
         return worker;
     }
 
-    /** The head of the next request; its body is read too. */
+    /** Returns the head of the next request; reads its body too. */
     private static String readRequest(Socket worker) throws IOException {
         InputStream in = worker.getInputStream();
         String head = HttpText.head(in);
@@ -428,7 +429,7 @@
                 new byte[] {'a'});
     }
 
-    /** A connection to the second worker that stands idle, ready to carry the next attempt at once. */
+    /** Opens an idle connection to the second worker, which carries the next attempt at once. */
     private Socket openIdleConnection() throws Exception {
         CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
         module.submit(idempotentRequest("two-before"), answer::complete);
@@ -441,8 +442,8 @@
     }
 
     /**
-     * The worker's one connection carries a request of those whose client has gone, or else one of these. They are sent one
-     * after the other, each once the one before was turned down: a mailbox that is never empty would run in its own stack.
+     * Asserts that the worker's only connection carries one of the requests sent here, not one whose client has gone. Each
+     * waits for the rejection of the one before: a mailbox that is never empty would recurse on its own stack.
      */
     private void assertNextAttemptIsOfALaterRequest(String server, Socket worker) throws IOException {
         for (int k = 0; worker.getInputStream().available() == 0; k++) {
@@ -464,7 +465,7 @@
         leaveAll(departure, List.of(client));
         if (departure.detected()) {
             moduleExecutor.awaitIdle();
-            assertThat(outcomesAfterClose).as("ended at once").contains("one-first");
+            assertThat(outcomesAfterClose).as("outcome reported at once").contains("one-first");
         }
         held.release();
         assertNextAttemptIsOfALaterRequest("one", worker);
@@ -498,7 +499,7 @@
         leaveAll(departure, List.of(client));
         moduleExecutor.release();
         if (departure.detected()) {
-            assertThat(outcomesWhileOpen).as("what may be repeated").doesNotContain("one-failed");
+            assertThat(outcomesWhileOpen).as("requests that may be repeated").doesNotContain("one-failed");
         }
         assertNextAttemptIsOfALaterRequest("two", second);
     }
@@ -552,7 +553,7 @@
         assertNextAttemptIsOfALaterRequest("two", worker);
     }
 
-    /** The last moment: the client was found there, and the module is yet to hear that it has gone. */
+    /** The last moment: the client was checked and present, and the module does not know yet that it has left. */
     @ParameterizedTest
     @EnumSource(LeaveMode.class)
     void clientLeavesAsItsAttemptIsAboutToBegin(LeaveMode mode) throws Exception {
@@ -576,7 +577,7 @@
         assertNextAttemptIsOfALaterRequest("two", second);
     }
 
-    /** Its time is up, and another may have been sent in its place: it would be one copy more. */
+    /** Another attempt may have replaced it, so it would be one copy too many. */
     @Test
     void anAttemptThatTimedOutDoesNotBegin() throws Exception {
         Socket second = openIdleConnection();
@@ -586,7 +587,7 @@
         assertNextAttemptIsOfALaterRequest("two", second);
     }
 
-    /** A client whose second copy waits for nothing but its turn at the second server, which is held. */
+    /** Opens a client whose second copy only waits for the second server's actor, which is held. */
     private WaitingClient openClientWithCopyAboutToBegin(Consumer<Socket> firstConnection) throws Exception {
         WaitingClient client = openClient("one-copied");
         Socket first = acceptAtWorker(FIRST_WORKER);
--- a/src/test/java/barrowshore/node/ExchangeTest.java
+++ b/src/test/java/barrowshore/node/ExchangeTest.java
@@ -38,11 +38,11 @@
 
 /**
  * Plays recorded byte exchanges against a whole scheduler on loopback sockets. Each file under {@code exchanges} is a
- * script of blocks: a line {@code == WHO DOES}, then the bytes, whose lines end in CR LF unless a backslash ends them;
- * {@code @NAME ARGUMENTS} behind it stands for the bytes in {@code messages/NAME}. C1, C2.. are clients, S1, S2.. the
- * connections that the one server accepts, in order, D1, D2.. discovery's, E1, E2.. those of a second discovery, O1,
- * O2.. operators; {@code == figures} reads the door's figures until they hold the lines given. Time stands still but for
- * {@code == time MILLIS} and the steps that move it on until something comes; nothing here waits for a clock.
+ * script of blocks: a line {@code == PEER ACTION}, then the bytes. Their lines end in CR LF, unless a backslash ends them;
+ * {@code @NAME ARGUMENTS} after the action takes the bytes from {@code messages/NAME}. Peers: C1, C2.. clients; S1, S2..
+ * the connections that the one server accepts, in order; D1, D2.. those of discovery; E1, E2.. those of a second
+ * discovery; O1, O2.. operators. {@code == figures} reads the metrics until they hold the lines given. Time is manual: only
+ * {@code == time MILLIS} and the steps that wait "in time" advance it.
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ExchangeTest {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Without the handler the signal ends the JVM that runs this. */
+    /** Without the handler the signal would end the test's JVM. */
     @Test
     void sigHupIsHandled() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
@@ -78,7 +78,7 @@
         heard.await();
     }
 
-    /** The scheduler and its scripted peers. */
+    /** Runs a scheduler and its scripted peers. */
     private static final class ScriptPlayer implements AutoCloseable {
         private final ManualTime time = new ManualTime();
         private final ServerSocket workerListener = new ServerSocket(0, 50, LOOPBACK);
@@ -88,7 +88,7 @@
         private String config = Files.readString(SCRIPTS.resolve("config.json"));
         private String moduleKind = "real";
         private JobScheduler scheduler;
-        /** The process that the node follows, once it does. */
+        /** The older process during an upgrade, else null. */
         private JobScheduler predecessor;
 
         private final Path folder = Files.createTempDirectory("twin");
@@ -108,7 +108,7 @@
                     }
                 }
                 if (words[0].startsWith("#")) {
-                    continue; // the opening remark
+                    continue; // the comment at the head of the script
                 }
                 runStep(
                         words,
@@ -122,7 +122,7 @@
             }
         }
 
-        /** Puts in the addresses of this run. */
+        /** Replaces the placeholders of addresses by those of this run. */
         private String substituteAddresses(String text) {
             return text.replace("$S", "127.0.0.1:" + workerListener.getLocalPort())
                     .replace("$D", "127.0.0.1:" + discoveryListener.getLocalPort())
@@ -204,9 +204,9 @@
             Files.writeString(file, config);
             ConfigFiles files = new ConfigFiles(file, null, null);
             files.read();
-            scheduler.reloadIfChanged(files); // it is as it was
+            scheduler.reloadIfChanged(files); // unchanged: must not reload
             config = config.replace(part, instead);
-            // Put in its place whole: a look between the truncation and the bytes would find a bad file.
+            // Replaced atomically: a read between truncation and write would find an invalid file.
             Path next = folder.resolve("config.next");
             Files.writeString(next, config);
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
@@ -219,7 +219,7 @@
             switch (action) {
                 case "connects", "reopens" -> {}
                 case "ends-in-time", "gets-in-time" -> {
-                    // Time moves on until there is something to read, since nothing else shows that a timer is set.
+                    // Advances time until there is something to read: the test cannot see when the timer is set.
                     PushbackInputStream in = new PushbackInputStream(peer.getInputStream());
                     peer.setSoTimeout(1);
                     int first = -2;
@@ -241,9 +241,8 @@
                 }
                 case "sends" -> send(peer, bytes);
                 case "sends-unheard" -> {
-                    // A socket that was closed answers the first with a reset, and then the second fails. Another's
-                    // call in
-                    // between takes the selector through its rounds, in which it closes what was given to it to close.
+                    // A closed socket answers the first send with a reset, so that the second fails. The other client's
+                    // call before each makes the selector run, which closes the sockets that are due.
                     for (int k = 0; k < 2; k++) {
                         try (Socket asker =
                                 new Socket(LOOPBACK, scheduler.address().getPort())) {
@@ -279,7 +278,7 @@
                     peer.setSoLinger(true, 0);
                     peer.close();
                 }
-                default -> throw new IllegalArgumentException("no such step: " + action);
+                default -> throw new IllegalArgumentException("unknown action: " + action);
             }
         }
 
@@ -298,7 +297,7 @@
                     });
         }
 
-        /** A module that never orders anything, or throws at each request. */
+        /** A module that never acts, or throws at each request. */
         private static DispatchApi faultyModule(boolean throwing) {
             return (DispatchApi) Proxy.newProxyInstance(
                     DispatchApi.class.getClassLoader(), new Class<?>[] {DispatchApi.class}, (proxy, method, args) -> {
@@ -318,7 +317,7 @@
                     case 'S' -> workerListener.accept();
                     case 'D' -> advancingTime ? acceptDiscoveryAdvancingTime() : discoveryListener.accept();
                     case 'E' -> secondDiscoveryListener.accept();
-                    default -> throw new IllegalArgumentException("no such peer: " + name);
+                    default -> throw new IllegalArgumentException("unknown peer: " + name);
                 };
                 socket.setTcpNoDelay(true);
                 peers.put(name, socket);
@@ -327,7 +326,7 @@
         }
 
         private Socket acceptDiscoveryAdvancingTime() throws IOException {
-            // Time must not run past the dial's own limit while another thread has yet to dial.
+            // Small steps: time must not pass the connect timeout while another thread has yet to connect.
             discoveryListener.setSoTimeout(8);
             while (true) {
                 time.advance(10);
@@ -339,7 +338,7 @@
             }
         }
 
-        /** Tells the whole list, by itself or as a watch's first line, as it is asked for; or (+) a line of the watch. */
+        /** Sends the whole list, as a response or as the first line of a watch, as requested; or, with "+", a watch line. */
         private void sendList(String name, String line) throws IOException {
             Socket watch = peer(name, false);
             if (!line.startsWith("+")) {
@@ -356,7 +355,7 @@
                 return;
             }
             String json = substituteAddresses(line.substring(1)) + "\n";
-            // In two chunks that end mid-line: boundaries may fall anywhere.
+            // Two chunks that split the line, since chunk boundaries may fall anywhere.
             String firstPart = json.substring(0, json.length() / 2), secondPart = json.substring(json.length() / 2);
             send(
                     watch,
@@ -364,7 +363,7 @@
                             + Integer.toHexString(secondPart.length()) + "\r\n" + secondPart + "\r\n");
         }
 
-        /** Each time by a new connection: one that is told no while clients are sent away ends with that. */
+        /** Asks over a new connection each time, since a scheduler that sends clients away closes it after the answer. */
         private void awaitReady(long stepMillis) throws IOException {
             String answer = "";
             while (!answer.startsWith("HTTP/1.1 200")) {
@@ -376,7 +375,7 @@
             }
         }
 
-        /** Published by their owner when it comes to it, so they are read until they are there. */
+        /** Reads the metrics until they hold the lines, since they are published asynchronously. */
         private void awaitMetrics(String[] lines) throws IOException {
             List<String> metrics = List.of();
             for (int tries = 0; tries < 20_000 && !metrics.containsAll(List.of(lines)); tries++) {
@@ -393,7 +392,7 @@
             to.getOutputStream().flush();
         }
 
-        /** One message, framed by its Content-Length; the time to come back at is only seen to be one. */
+        /** Reads a message framed by its Content-Length; replaces a valid Retry-After value by "~". */
         private static String readMessage(InputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
@@ -417,7 +416,7 @@
             try {
                 return peer.getInputStream().read() < 0;
             } catch (SocketException e) {
-                return true; // a reset ends a connection too
+                return true; // a reset ends the connection too
             }
         }
 
--- a/src/test/java/barrowshore/node/IdleClientsTest.java
+++ b/src/test/java/barrowshore/node/IdleClientsTest.java
@@ -28,20 +28,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A scheduler in a process of its own whose descriptors idle clients fill, again and again, while discovery is down: the
- * limit holds at each moment, and what the scheduler needs descriptors for itself still goes through.
+ * Guards against idle clients using up the scheduler's descriptors. They keep filling those of a scheduler in its own
+ * process while discovery is down: the limit must hold, and the scheduler must still reach workers and discovery.
  */
 @EnabledOnOs(OS.LINUX)
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class IdleClientsTest {
     /**
-     * The limit given to the scheduler. The kernel's table of a process's descriptors grows by powers of two and never
-     * shrinks, so its size tells whether there were ever more than these.
+     * The scheduler's limit. The kernel's table of a process's descriptors grows by powers of two and never shrinks, so its
+     * size tells whether the process ever had more.
      */
     private static final int MAX_DESCRIPTORS = 256;
-    /** Idle clients at a time: more than twice the limit. */
+    /** Idle clients open at a time: more than twice the limit of descriptors. */
     private static final int MAX_IDLE_CLIENTS = 600;
-    /** Idle clients that have to come while one thing is waited for. */
+    /** New idle clients that {@link #awaitMoreIdleClients} waits for. */
     private static final int NEW_IDLE_CLIENTS_PER_WAIT = MAX_IDLE_CLIENTS;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -53,7 +53,7 @@
     private final ServerSocket firstWorker = new ServerSocket(0, 50, LOOPBACK);
     private final ServerSocket secondWorker = new ServerSocket(0, 50, LOOPBACK);
     private final ServerSocket thirdWorker = new ServerSocket(0, 50, LOOPBACK);
-    /** Connections that the scheduler has made to workers. */
+    /** Connections from the scheduler to workers that are not handled yet. */
     private final BlockingQueue<Socket> workerConnections = new LinkedBlockingQueue<>();
 
     private final AtomicInteger idleClientCount = new AtomicInteger();
@@ -110,7 +110,7 @@
             idleClientThread = new Thread(this::openIdleClients, "flood");
             idleClientThread.start();
             awaitMoreIdleClients();
-            // Discovery is down: a request on a held connection, and a fresh connection to the worker for it.
+            // Discovery is down: a request on a held connection still gets a new connection to the worker.
             serveRequest(held, firstWorker);
 
             try (ServerSocket discovery = listen(discoveryPort);
@@ -127,7 +127,7 @@
                 serveRequest(held, secondWorker);
                 awaitMoreIdleClients();
 
-                // It comes back in a new place.
+                // Discovery moves to a new address.
                 try (ServerSocket elsewhere = new ServerSocket(0, 50, LOOPBACK)) {
                     writeConfig(elsewhere.getLocalPort());
                     new ProcessBuilder("kill", "-HUP", Long.toString(scheduler.pid()))
@@ -137,7 +137,7 @@
                         assertThat(readHead(moved.getInputStream())).startsWith("GET /api/targets");
                         sendWholeList(moved, targetJson("s-3", thirdWorker, "Ready"));
                         assertThat(watch.getInputStream().read())
-                                .as("the former watch ends")
+                                .as("the watch at the old address ends")
                                 .isEqualTo(-1);
                         serveRequest(held, thirdWorker);
                     }
@@ -153,7 +153,7 @@
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + listenPort + "\"")
                 .replace("$D", "127.0.0.1:" + discovery)
                 .replace("$S", "127.0.0.1:" + firstWorker.getLocalPort())
-                // Where the processor is short a connect may take long, and one given up proves nothing here.
+                // On a busy machine a connect may take long, and a timed-out one would prove nothing here.
                 .replace("\"dialTimeout\":250000", "\"dialTimeout\":10000000")
                 .replace("\"sockets\":1024", "\"sockets\":" + MAX_DESCRIPTORS);
         Path next = folder.resolve("config.next");
@@ -174,7 +174,7 @@
         return server;
     }
 
-    /** How many descriptors the kernel has made room for in the scheduler's table: so many at most were ever open. */
+    /** Size of the kernel's table of the scheduler's descriptors: at most so many were ever open. */
     private int descriptorTableSize() throws IOException {
         return Files.readAllLines(Path.of("/proc", Long.toString(scheduler.pid()), "status")).stream()
                 .filter(line -> line.startsWith("FDSize:"))
@@ -195,7 +195,7 @@
         }
     }
 
-    /** Clients that come and stay: silent, with half a request, or with their own side ended. The oldest make room. */
+    /** Opens clients that send nothing, send half a request or close their output; above the maximum closes the oldest. */
     private void openIdleClients() {
         Deque<Socket> idle = new ArrayDeque<>();
         while (!Thread.currentThread().isInterrupted()) {
@@ -211,7 +211,7 @@
                     idle.remove().close();
                 }
             } catch (IOException e) {
-                continue; // it was shut at once
+                continue; // the scheduler closed it at once
             }
         }
         idle.forEach(IdleClientsTest::close);
@@ -232,14 +232,14 @@
         }
     }
 
-    /** Requests on the held connection until one comes to that worker, which the scheduler may have yet to hear of. */
+    /** Repeats requests until one reaches that worker, since the scheduler may not know the new list yet. */
     private void serveRequest(Socket client, ServerSocket worker) throws Exception {
         for (int port = 0; port != worker.getLocalPort(); ) {
             port = serveRequest(client);
         }
     }
 
-    /** A request that may not run twice, and so goes to its worker on a fresh connection; returns the worker's port. */
+    /** Sends a request that must not run twice, and so gets a new connection; returns its worker's port. */
     private int serveRequest(Socket client) throws Exception {
         String id = "a" + ++requestCount;
         send(
@@ -250,7 +250,7 @@
         return answerAsWorker(client, id);
     }
 
-    /** Answers the request as its worker, and reads the client's answer. */
+    /** Answers the request as its worker and reads the client's response; returns the worker's port. */
     private int answerAsWorker(Socket client, String id) throws Exception {
         try (Socket worker = nextWorkerConnection(client)) {
             String asked = readHead(worker.getInputStream());
@@ -270,12 +270,12 @@
         }
     }
 
-    /** The next connection to a worker; the client must have no answer before that. */
+    /** Waits for the next connection to a worker; asserts that the client has no answer before it. */
     private Socket nextWorkerConnection(Socket client) throws Exception {
         Socket next = null;
         while (next == null) {
             assertThat(client.getInputStream().available())
-                    .as("an answer that no worker gave")
+                    .as("bytes of an answer that no worker gave")
                     .isZero();
             next = workerConnections.poll(10, TimeUnit.MILLISECONDS);
         }
@@ -305,7 +305,7 @@
         send(watch, chunk(targetListJson(rev, all, entries)));
     }
 
-    /** Answers the call for a whole list, and the watch that comes after it. */
+    /** Answers the request for the whole list, and the watch that follows it. */
     private static void sendWholeList(Socket discovery, String... entries) throws IOException {
         String list = targetListJson(3, true, entries);
         send(discovery, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
--- a/src/test/java/barrowshore/node/LateConnectionTest.java
+++ b/src/test/java/barrowshore/node/LateConnectionTest.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A request whose connection to a server comes up late, and what ends meanwhile: the client, or the time in which a repeat
- * does no harm. The selector is held until that has ended; settings let nothing be called off that has begun.
+ * Guards against sending a request on a connection that comes up too late: after its client has gone, or after its repeat
+ * window. The selector is held until then; the settings forbid cancelling attempts that have begun.
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LateConnectionTest {
@@ -72,7 +72,7 @@
                         "\"all\":true,\"targets\":[{\"uid\":\"s-2\",\"endpoint\":\"127.0.0.1:"
                                 + workerListeners[1].getLocalPort()
                                 + "\",\"az\":\"a\",\"model\":\"m\",\"state\":\"Ready\"},"));
-        // Messages run in the poster's stack: in the order in which the test does things.
+        // Actors run in the posting thread, so in the order of the test's calls.
         module = new ModuleActor(
                 clock,
                 Runnable::run,
@@ -98,7 +98,7 @@
         pool.shutdownNow();
     }
 
-    /** Connections by this dialer are up for the kernel, but not for us. */
+    /** From now on the kernel establishes connections, but the scheduler does not see them. */
     private void holdSelector(ConnectionManager connectionManager) throws InterruptedException {
         heldSelector = new HeldSelector(connectionManager);
     }
@@ -109,7 +109,7 @@
         }
     }
 
-    /** The first connection to come, at either server; which one it is, the module chooses. */
+    /** Returns the first connection at either server, since the module chooses the server. */
     private Socket acceptFirstConnection() throws IOException {
         for (int k = 0; ; k = 1 - k) {
             try {
@@ -137,8 +137,9 @@
         module.clientGone(request);
         try (Socket accepted = acceptFirstConnection()) {
             heldSelector.release();
-            // There is one connection at most: once it is up it carries the one that has gone, or else one of these.
-            // Each waits for the answer to the one before: a mailbox that is never empty would run in its own stack.
+            // The server has at most one connection: it carries the request of the gone client, or one of these.
+            // Each waits for the answer to the one before: a mailbox that is never empty would recurse on its own
+            // stack.
             for (int k = 0; accepted.getInputStream().available() == 0; k++) {
                 CompletableFuture<JobRequest.Answer> answer = new CompletableFuture<>();
                 module.submit(keyedRequest("a" + k), answer::complete);
@@ -161,7 +162,7 @@
             holdSelector(connectionManagers[first.getLocalPort() == workerListeners[0].getLocalPort() ? 1 : 0]);
             first.getOutputStream()
                     .write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            // The repeat is on its way within the window; its connection comes up after that.
+            // The repeat is handed to the server within the window; its connection comes up after it.
             try (Socket second = acceptFirstConnection()) {
                 nanos.addAndGet(REPEAT_WINDOW_MICROS * 1000);
                 heldSelector.release();
--- a/src/test/java/barrowshore/node/ReadyTest.java
+++ b/src/test/java/barrowshore/node/ReadyTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * That a start is ready in bounded time, by the test's own clock, whatever discovery does: asked over real connections. A
- * process counts the time of its JVM on top.
+ * Guards against a start that does not become ready in bounded time, whatever discovery does. Connections are real, time is
+ * manual; the start of a JVM comes on top in a real process.
  */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReadyTest {
-    /** Milliseconds from a start, or from when discovery can be reached, to being ready. */
+    /** Time limit from the start, or from when discovery is back if no list is known. */
     private static final long READY_LIMIT_MILLIS = 6000;
 
     private static final long TIME_STEP_MILLIS = 10;
@@ -35,7 +35,7 @@
             "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:1\","
                     + "\"az\":\"a\",\"model\":\"m\",\"state\":\"Ready\"}]}\n";
 
-    /** What discovery does with a call. */
+    /** How discovery handles a call. */
     private interface Script {
         void play(Call call) throws IOException;
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Plays discovery (null: nobody can reach it) for so long, or until the scheduler is ready. */
+    /** Runs discovery (null: unreachable) for so long, or until the scheduler is ready. */
     private boolean isReadyWithin(long millis, Script script) throws IOException {
         long until = time.millis() + millis;
         boolean ready = isReady();
@@ -96,7 +96,7 @@
         try {
             script.play(call);
         } catch (IOException e) {
-            return; // the scheduler has given the call up meanwhile
+            return; // the scheduler has closed the call
         }
     }
 
--- a/src/test/java/barrowshore/node/ReloadOperatorTest.java
+++ b/src/test/java/barrowshore/node/ReloadOperatorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The operators' settings read again while a scheduler runs: whole, or not at all. */
+/** Guards against a reload that applies an invalid configuration in part: it must change nothing. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReloadOperatorTest {
     private static SchedulerConfig schedulerConfig(OperatorSettings operatorSettings) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** How many halls the scheduler knows when the next file is read: the ones before it are done with by then. */
+    /** Number of halls before the next reload: at its read, the earlier reloads have been applied. */
     private static int hallCountBeforeReload(JobScheduler scheduler, Supplier<SchedulerConfig> next) throws Exception {
         CompletableFuture<Integer> hallCount = new CompletableFuture<>();
         scheduler.reload(() -> {
@@ -49,7 +49,7 @@
                         throw new ConfigException("operator.xml: line 3, column 7: halls: broken on purpose");
                     }))
                     .isEqualTo(2);
-            // A preference for a hall that there is not: found only when the two files are put together.
+            // A preference of an unknown hall, which is detected only when both files are combined.
             assertThat(hallCountBeforeReload(
                             scheduler,
                             () -> schedulerConfig(OperatorSettings.parse(
--- a/src/test/java/barrowshore/node/ShutdownTest.java
+++ b/src/test/java/barrowshore/node/ShutdownTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a process owes that is told to end while it still starts. */
+/** Guards against a SIGTERM during the start that leaves accepted clients without an answer. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownTest {
     @Test
