--- a/src/main/java/barrowshore/node/JobScheduler.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -50,149 +50,171 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One scheduler, put together. It owns the pool, the timers' thread, the dialer and the listening socket, and the order
- * in which they start and end. It must never take part in a request's life.
+ * A running scheduler: assembles its parts and decides the order in which they start and stop. It owns the thread pool,
+ * the connection manager and the listening sockets. It takes no part in the handling of requests.
  */
 public final class JobScheduler {
     private static final System.Logger LOG = System.getLogger("barrowshore.node.Node");
-    /** One core: the selector's thread and a few to run messages while one of them is on the module. */
-    private static final int THREADS = 4;
-    /** Descriptors kept for the JVM, the listening socket, discovery and the selector. */
-    private static final int RESERVED = 64;
-    /** Share of the other descriptors that goes to servers. */
-    private static final double OUTGOING = 0.4;
-    /** Milliseconds after SIGTERM until the last new connections have come. */
-    private static final long SETTLE = 500;
+    /** Sized for one core: the selector's thread, one that runs the module, and the rest for other actors' messages. */
+    private static final int POOL_THREADS = 4;
+    /** For the JVM, the listening socket, service discovery and the selector. */
+    private static final int RESERVED_DESCRIPTORS = 64;
+    /** Share of the remaining descriptors that connections to servers may use; clients get the rest. */
+    private static final double SERVER_DESCRIPTOR_SHARE = 0.4;
+    /** Share of the clients' descriptors up to which no idle connection is closed. */
+    private static final double CLIENT_CONNECTION_SHARE = 0.9;
+
+    private static final int LISTEN_BACKLOG = 512;
+    /** After SIGTERM or a drain order, the last new connections come within this time. Idle ones are closed this often. */
+    private static final long SETTLE_MILLIS = 500;
     /**
-     * After SIGTERM the process is let be for the longest deadline, or this where that is longer, and a little more;
-     * at the end of that time, room to answer what cannot be done any more, and before it, room for a usual job.
+     * The grace after SIGTERM, before the process may be killed, is the longest deadline of a class, at most this, plus
+     * {@link #EXTRA_GRACE_MILLIS}.
      */
-    private static final long LONGEST_GRACE = 3000;
+    private static final long MAX_JOB_GRACE_MILLIS = 3000;
 
-    private static final long MORE_GRACE = 700;
-    private static final long LAST_WORD = 150;
-    private static final long USUAL_JOB = 800;
-    /** Milliseconds after SIGTERM before which the process does not end. */
-    private static final long STAY = 700;
+    private static final long EXTRA_GRACE_MILLIS = 700;
+    /** Left at the end of the grace to answer the requests that are still open. */
+    private static final long FINAL_ANSWER_MILLIS = 150;
+    /** Clients that no other scheduler can take stay until this much of the grace is left: enough for a usual job. */
+    private static final long USUAL_JOB_MILLIS = 800;
+    /** After SIGTERM the process stays at least this long. */
+    private static final long MIN_SHUTDOWN_MILLIS = 700;
 
-    /** How often is looked whether the configuration has changed, where no signal can tell. */
-    private static final long LOOK_MILLIS = 250;
+    /** How often the configuration files are checked for changes where SIGHUP is ignored. */
+    private static final long CONFIG_POLL_MILLIS = 250;
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
+    private final ExecutorService pool = Executors.newFixedThreadPool(POOL_THREADS);
     private final Scheduler timers;
     private final ModuleActor module;
     private final ClientConnections clients;
-    private final ServiceDiscovery entry;
-    /** Where discovery and a watched file come together; null: there is discovery alone. */
-    private final ListKeeper keeper;
+    private final ServiceDiscovery discovery;
+    /** Merges service discovery with the operators' servers file; null: there is no such file. */
+    private final ServerListActor serverList;
 
     private final PeerMessenger peers;
-    private final ConnectionManager dialer;
-    /** Where clients are heard; a process that follows another opens it only when it can serve. */
-    private volatile ServerSocketChannel server;
-
-    private final CompletableFuture<Void> open = new CompletableFuture<>();
-    /** The other process of an upgrade; null: there can be none. */
-    private final Succession succession;
-    /** Whether a process after us serves. */
-    private volatile boolean followed;
-    /** Descriptors that go to servers, and to clients, while there is one process; and a part of them, if two. */
-    private final int outgoing;
-
-    private final int incoming;
-    private boolean halved;
-    /** The operators' door; null: none. */
-    private final OpsServer ops;
-    /** Where we stand towards clients: set by orders from outside, read by the connections. */
-    private final AtomicReference<ServiceState> standing = new AtomicReference<>(ServiceState.SERVING);
-    /** What is read again runs here, one file after the other. */
-    private final Mailbox configuration = new Mailbox("the configuration", pool);
-    /** As last taken over. */
+    private final ConnectionManager connectionManager;
+    /** Accepts clients; during an upgrade the new process opens it only once it can serve. */
+    private volatile ServerSocketChannel clientListener;
+
+    /** Completes once clients are accepted; exceptionally if the socket cannot be opened. */
+    private final CompletableFuture<Void> listening = new CompletableFuture<>();
+    /** Coordinates with the other process of an upgrade; null: this process cannot be upgraded while it runs. */
+    private final UpgradeCoordinator upgrade;
+
+    private volatile boolean successorServing;
+    /** Descriptors for servers and for clients while this is the only process; see {@link #shareLimits}. */
+    private final int serverDescriptors;
+
+    private final int clientDescriptors;
+    private boolean limitsShared;
+    /** Null: no operators' address is configured. */
+    private final OpsServer opsServer;
+    /** Set by orders from operators and by SIGTERM, read by the clients' connections. */
+    private final AtomicReference<ServiceState> serviceState = new AtomicReference<>(ServiceState.SERVING);
+    /** Runs reloads of the configuration one after the other. */
+    private final Mailbox configMailbox = new Mailbox("the configuration", pool);
+    /** As last applied. */
     private volatile Config config;
-    /** The operators' servers' file; null: none. */
-    private final OperatorSettings.ServersFileSettings servers;
-    /** The rules on halls last taken over. */
-    private HallRules rules;
+    /** The operators' servers file; null: none. */
+    private final OperatorSettings.ServersFileSettings serversFile;
+    /** As last applied; null: halls are off. */
+    private HallRules hallRules;
 
-    /** Starts a scheduler; the timers are started by the caller and stopped with the node. */
+    /**
+     * Starts a scheduler. The caller has started the timers; {@link #stop} stops them. upgradeSocket: the Unix socket by
+     * which the processes of an upgrade meet, or null.
+     */
     JobScheduler(
-            SchedulerConfig setup,
+            SchedulerConfig schedulerConfig,
             Clock clock,
             Scheduler timers,
-            Path twin,
+            Path upgradeSocket,
             Function<DispatchApi.Actions, DispatchApi> newModule)
             throws Exception {
-        Config config = setup.config();
+        Config config = schedulerConfig.config();
         this.config = config;
-        this.rules = setup.hallRules();
-        this.servers = setup.operatorSettings().servers();
+        this.hallRules = schedulerConfig.hallRules();
+        this.serversFile = schedulerConfig.operatorSettings().servers();
         this.timers = timers;
-        int usable = config.sockets() - RESERVED - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
-        outgoing = (int) (usable * OUTGOING);
-        incoming = usable - outgoing;
-        dialer = new ConnectionManager(
-                pool, timers, outgoing, incoming, config.settings().connectTimeoutMicros / 1000, this::accepted);
+        int usableDescriptors =
+                config.sockets() - RESERVED_DESCRIPTORS - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
+        serverDescriptors = (int) (usableDescriptors * SERVER_DESCRIPTOR_SHARE);
+        clientDescriptors = usableDescriptors - serverDescriptors;
+        connectionManager = new ConnectionManager(
+                pool,
+                timers,
+                serverDescriptors,
+                clientDescriptors,
+                config.settings().connectTimeoutMicros / 1000,
+                this::acceptClient);
         module = new ModuleActor(
                 clock,
                 pool,
                 timers,
                 config.classes(),
                 config.settings().maxAttempts,
-                uid -> new Server(uid, pool, this.dialer, timers, config.keepAlive(), outgoing / 2),
-                this::tell,
+                uid -> new Server(uid, pool, this.connectionManager, timers, config.keepAlive(), serverDescriptors / 2),
+                this::broadcastToPeers,
                 newModule);
-        clients = new ClientConnections(config, clock, pool, timers, module, standing::get, mostClients(incoming));
-        keeper = setup.operatorSettings().servers() == null
+        clients = new ClientConnections(
+                config, clock, pool, timers, module, serviceState::get, maxClientConnections(clientDescriptors));
+        serverList = schedulerConfig.operatorSettings().servers() == null
                 ? null
-                : new ListKeeper(
-                        setup.operatorSettings().servers(), config.names(), clock, pool, timers, module::update);
-        entry = new ServiceDiscovery(
+                : new ServerListActor(
+                        schedulerConfig.operatorSettings().servers(),
+                        config.names(),
+                        clock,
+                        pool,
+                        timers,
+                        module::updateServers);
+        discovery = new ServiceDiscovery(
                 config.discovery(),
                 config.names(),
                 pool,
-                dialer,
+                connectionManager,
                 timers,
-                keeper == null ? module::update : keeper::discovered,
-                () -> module.discoverySilent(config.knownServers()),
+                serverList == null ? module::updateServers : serverList::applyDiscovery,
+                () -> module.useKnownServers(config.knownServers()),
                 config.knownServers(),
                 config.grace());
         peers = config.peers() == null
                 ? null
-                : new PeerMessenger(config.peers(), config.ops() != null, pool, clock, module::peer);
-        dialer.start();
+                : new PeerMessenger(config.peers(), config.ops() != null, pool, clock, module::receivePeerMessage);
+        connectionManager.start();
         module.start();
-        entry.open();
-        succession = twin == null ? null : new Succession(twin, pool, new Host());
-        if (succession != null && succession.follows()) {
-            shared(true);
+        discovery.open();
+        upgrade = upgradeSocket == null ? null : new UpgradeCoordinator(upgradeSocket, pool, new UpgradeHost());
+        if (upgrade != null && upgrade.hasPredecessor()) {
+            shareLimits(true);
             if (peers != null) {
                 peers.setQuiet(true);
             }
-            module.whenReady(this::openToClients);
+            module.runWhenReady(this::listenBesidePredecessor);
         } else {
             listenToClients();
         }
-        if (succession != null) {
-            succession.start();
+        if (upgrade != null) {
+            upgrade.start();
         }
         if (config.ops() == null) {
-            ops = null;
+            opsServer = null;
         } else {
             module.startPublishing();
-            ops = new OpsServer(listen(config.ops(), "ops", false), timers, new Door());
+            opsServer = new OpsServer(openListener(config.ops(), "ops", false), timers, new OpsControl());
         }
-        logStart(setup);
+        logStart(schedulerConfig);
     }
 
-    private void logStart(SchedulerConfig setup) {
+    private void logStart(SchedulerConfig schedulerConfig) {
         LOG.log(
                 Level.INFO,
                 config.summary()
-                        + (rules == null && servers == null
+                        + (hallRules == null && serversFile == null
                                 ? ""
-                                : "; " + setup.operatorSettings().summary()));
-        // Once ready, since a start is short of processor time.
-        module.whenReady(() -> {
+                                : "; " + schedulerConfig.operatorSettings().summary()));
+        // Delayed until ready, since processor time is short during a start.
+        module.runWhenReady(() -> {
             List<String> unknown = config.unknownSettings();
             if (!unknown.isEmpty()) {
                 LOG.log(Level.WARNING, "settings not known here, and not heeded: {0}", String.join(", ", unknown));
@@ -206,229 +228,242 @@
         }
     }
 
-    private Connection accepted(EndPoint endPoint) {
+    private Connection acceptClient(EndPoint endPoint) {
         return clients.accept(endPoint);
     }
 
-    private void tell(byte[] message) {
+    private void broadcastToPeers(byte[] message) {
         if (peers != null) {
             peers.broadcast(message);
         }
     }
 
     private void listenToClients() throws IOException {
-        server = listen(config.listen(), "listen", succession != null);
-        dialer.listen(server);
-        open.complete(null);
+        clientListener = openListener(config.listen(), "listen", upgrade != null);
+        connectionManager.listen(clientListener);
+        listening.complete(null);
     }
 
-    /** From now on new clients come to us as well as to the process before us, until that one ends. */
-    private void openToClients() {
+    /** Accepts clients on the predecessor's port: until it ends, new clients reach either process. */
+    private void listenBesidePredecessor() {
         try {
             listenToClients();
             if (peers != null) {
                 peers.setQuiet(false);
             }
-            succession.serving();
+            upgrade.announceServing();
         } catch (IOException | RuntimeException e) {
-            open.completeExceptionally(e);
+            listening.completeExceptionally(e);
         }
     }
 
-    private static int mostClients(int descriptors) {
-        return (int) (descriptors * 0.9);
+    /** The most client connections for so many descriptors; above it idle ones are closed. */
+    private static int maxClientConnections(int descriptors) {
+        return (int) (descriptors * CLIENT_CONNECTION_SHARE);
     }
 
-    /** What the scheduler has is for one process, or for two. */
-    private void shared(boolean two) {
-        if (two != halved) {
-            halved = two;
-            int sign = two ? -1 : 1, lessOut = outgoing - outgoing * 2 / 5, lessIn = incoming - incoming * 2 / 5;
-            dialer.addPermits(sign * lessOut, sign * lessIn);
-            clients.setMaxConnections(mostClients(two ? incoming - lessIn : incoming));
-            module.share(two ? 0.5 : 1);
+    /** Sets whether two processes share the scheduler's limits; each then keeps two fifths of the descriptors. */
+    private void shareLimits(boolean twoProcesses) {
+        if (twoProcesses != limitsShared) {
+            limitsShared = twoProcesses;
+            int sign = twoProcesses ? -1 : 1,
+                    serverCut = serverDescriptors - serverDescriptors * 2 / 5,
+                    clientCut = clientDescriptors - clientDescriptors * 2 / 5;
+            connectionManager.addPermits(sign * serverCut, sign * clientCut);
+            clients.setMaxConnections(
+                    maxClientConnections(twoProcesses ? clientDescriptors - clientCut : clientDescriptors));
+            module.setDispatcherShare(twoProcesses ? 0.5 : 1);
         }
     }
 
-    /** What the other process of an upgrade moves here. */
-    private final class Host implements Succession.Host {
+    private final class UpgradeHost implements UpgradeCoordinator.Host {
         @Override
-        public ServiceState standing() {
-            return standing.get();
+        public ServiceState serviceState() {
+            return serviceState.get();
         }
 
         @Override
-        public void follow(boolean away) {
-            JobScheduler.this.away(away);
+        public void applyDrain(boolean drain) {
+            JobScheduler.this.applyDrain(drain);
         }
 
         @Override
-        public void shared(boolean two) {
-            JobScheduler.this.shared(two);
+        public void shareLimits(boolean twoProcesses) {
+            JobScheduler.this.shareLimits(twoProcesses);
         }
 
         @Override
-        public void followed(boolean serving) {
-            followed = serving;
+        public void setSuccessorServing(boolean serving) {
+            successorServing = serving;
         }
     }
 
-    /** The operators' order, by whatever way it came; false: we are ending. */
-    private boolean away(boolean away) {
-        ServiceState now = standing.updateAndGet(away ? ServiceState::drain : ServiceState::activate);
-        if (!now.isEnding()) {
-            LOG.log(Level.INFO, away ? "operators send clients away" : "operators want clients back");
-            if (away) {
-                timers.schedule(() -> closeIdle(now, true), SETTLE, TimeUnit.MILLISECONDS);
+    /** Drains or activates by the operators' order; false: not done, since the scheduler is ending. */
+    private boolean applyDrain(boolean drain) {
+        ServiceState state = serviceState.updateAndGet(drain ? ServiceState::drain : ServiceState::activate);
+        if (!state.isEnding()) {
+            LOG.log(
+                    Level.INFO,
+                    drain
+                            ? "drained by the operators: clients are sent away"
+                            : "activated by the operators: clients may stay");
+            if (drain) {
+                timers.schedule(() -> closeIdleRepeatedly(state, true), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
-        return !now.isEnding();
+        return !state.isEnding();
     }
 
-    private boolean ordered(boolean away) {
-        boolean done = away(away);
-        if (done && succession != null) {
-            succession.ordered(away);
+    /** Like {@link #applyDrain}, and passes the order on to the other process of an upgrade. */
+    private boolean orderDrain(boolean drain) {
+        boolean applied = applyDrain(drain);
+        if (applied && upgrade != null) {
+            upgrade.announceDrain(drain);
         }
-        return done;
+        return applied;
     }
 
-    /** What operators may ask of it; all of it published values, so that no call waits for an actor. */
-    private final class Door implements OpsServer.SchedulerControl {
+    /** Answers operators' calls from published values, so that no call waits for an actor. */
+    private final class OpsControl implements OpsServer.SchedulerControl {
         @Override
         public boolean isReady() {
-            return module.figures().ready() && open.isDone() && !standing.get().isEnding();
+            return module.metrics().ready()
+                    && listening.isDone()
+                    && !serviceState.get().isEnding();
         }
 
         @Override
         public SchedulerMetrics metrics() {
-            return module.figures();
+            return module.metrics();
         }
 
         @Override
         public boolean drain() {
-            return ordered(true);
+            return orderDrain(true);
         }
 
         @Override
         public boolean activate() {
-            return ordered(false);
+            return orderDrain(false);
         }
     }
 
-    /** Again and again while clients are to leave: an answer may have been on its way as they were sent. */
-    private void closeIdle(ServiceState since, boolean first) {
-        if (standing.get().changeCount() == since.changeCount()) {
-            clients.closeIdle(first);
-            timers.schedule(() -> closeIdle(since, false), SETTLE, TimeUnit.MILLISECONDS);
+    /**
+     * Closes idle connections at intervals until the state changes: one with an answer on its way is not idle yet.
+     * includeUnanswered: also those that have had no answer to a job yet.
+     */
+    private void closeIdleRepeatedly(ServiceState expectedState, boolean includeUnanswered) {
+        if (serviceState.get().changeCount() == expectedState.changeCount()) {
+            clients.closeIdle(includeUnanswered);
+            timers.schedule(() -> closeIdleRepeatedly(expectedState, false), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private static ServerSocketChannel listen(InetSocketAddress address, String field, boolean shared)
+    private static ServerSocketChannel openListener(InetSocketAddress address, String field, boolean sharedPort)
             throws IOException {
-        ServerSocketChannel server = ServerSocketChannel.open();
+        ServerSocketChannel listener = ServerSocketChannel.open();
         try {
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
-            return server.bind(address, 512);
+            listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            listener.setOption(StandardSocketOptions.SO_REUSEPORT, sharedPort);
+            return listener.bind(address, LISTEN_BACKLOG);
         } catch (IOException | RuntimeException e) {
-            server.close();
+            listener.close();
             throw new ConfigException(field + ": cannot listen on " + address + ": " + e.getMessage());
         }
     }
 
-    /** Serves until SIGTERM; then goes on until all is answered and the clients' connections are gone. */
+    /** Serves until SIGTERM, and after it until all requests are answered and the clients' connections closed. */
     public static void serve(ConfigFiles files) throws Exception {
         CompletableFuture<JobScheduler> started = new CompletableFuture<>();
-        // Guards against the JVM's own way with SIGHUP, which is to end: in place before there is anything to end.
-        boolean signalled = onHangUp(() -> started.thenAccept(node -> node.reload(files::read)));
-        SchedulerConfig setup = files.read();
-        Config config = setup.config();
+        // Installed first: by default SIGHUP ends the JVM.
+        boolean hangUpHandled = handleHangUp(() -> started.thenAccept(scheduler -> scheduler.reload(files::read)));
+        SchedulerConfig schedulerConfig = files.read();
+        Config config = schedulerConfig.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
-        String folder = System.getenv("TMPDIR");
-        // In place before clients can come: a start that is told to end has taken what came while it was not yet done.
-        Runtime.getRuntime().addShutdownHook(new Thread(end(started, Runtime.getRuntime()::halt), "drain"));
-        JobScheduler node;
+        String tempFolder = System.getenv("TMPDIR");
+        // Installed before clients are accepted: a SIGTERM during the start must still answer those that came.
+        Runtime.getRuntime().addShutdownHook(new Thread(shutdownTask(started, Runtime.getRuntime()::halt), "drain"));
+        JobScheduler scheduler;
         try {
-            node = new JobScheduler(
-                    setup,
+            scheduler = new JobScheduler(
+                    schedulerConfig,
                     Clock.system(),
                     timers,
-                    config.ops() == null || folder == null || folder.isEmpty()
+                    config.ops() == null || tempFolder == null || tempFolder.isEmpty()
                             ? null
-                            : Path.of(folder, "barrowshore-" + config.name() + ".sock"),
+                            : Path.of(tempFolder, "barrowshore-" + config.name() + ".sock"),
                     actions -> new Dispatcher(config.settings(), actions));
         } catch (Exception | Error e) {
             started.completeExceptionally(e);
             throw e;
         }
-        started.complete(node);
-        if (!signalled) {
+        started.complete(scheduler);
+        if (!hangUpHandled) {
             LOG.log(
                     Level.WARNING,
-                    "SIGHUP is ignored, as under nohup: the configuration is looked at now and then instead");
-            node.keepLooking(files);
+                    "SIGHUP was ignored at the start (as under nohup): the configuration is polled for changes");
+            scheduler.pollConfig(files);
         }
         try {
-            node.open.get();
+            scheduler.listening.get();
         } catch (ExecutionException e) {
             throw e.getCause() instanceof Exception cause ? cause : e;
         }
         new CountDownLatch(1).await();
     }
 
-    /** Ends a scheduler in good order, once it has started; one that never does leaves the end to whoever began it. */
-    static Runnable end(CompletableFuture<JobScheduler> started, IntConsumer halt) {
+    /** Drains a scheduler once it has started, then halts; after a failed start it does nothing. */
+    static Runnable shutdownTask(CompletableFuture<JobScheduler> started, IntConsumer halt) {
         return () -> {
             try {
-                JobScheduler node = started.get();
-                node.drain().await();
-                halt.accept(node.open.isCompletedExceptionally() ? 2 : 0); // no orderly end, if it never opened
+                JobScheduler scheduler = started.get();
+                scheduler.drain().await();
+                halt.accept(scheduler.listening.isCompletedExceptionally() ? 2 : 0); // 2: it never accepted clients
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (ExecutionException e) {
-                LOG.log(Level.DEBUG, "ended before it had started", e);
+                LOG.log(Level.DEBUG, "shut down before the scheduler had started: nothing to drain", e);
             }
         };
     }
 
-    /** Starts a scheduler inside another program, which stops it. */
-    public static JobScheduler start(SchedulerConfig setup) throws Exception {
+    /** Starts a scheduler inside another program, which must call {@link #stop}. */
+    public static JobScheduler start(SchedulerConfig schedulerConfig) throws Exception {
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
         return new JobScheduler(
-                setup,
+                schedulerConfig,
                 Clock.system(),
                 timers,
                 null,
-                actions -> new Dispatcher(setup.config().settings(), actions));
+                actions -> new Dispatcher(schedulerConfig.config().settings(), actions));
     }
 
-    /** Where each hall stands with it, by number; empty where halls are off. */
+    /** The state of each hall, by its number; empty if halls are off. */
     public CompletableFuture<List<HallState>> hallStates() {
-        CompletableFuture<List<HallState>> told = new CompletableFuture<>();
-        module.look(looked -> told.complete(looked.hallStates()));
-        return told;
+        CompletableFuture<List<HallState>> states = new CompletableFuture<>();
+        module.inspect(dispatcher -> states.complete(dispatcher.hallStates()));
+        return states;
     }
 
-    /** Slots that its jobs hold in a hall other than its own. */
+    /** Slots that this scheduler's jobs hold in the given hall, if it is not its own. */
     public CompletableFuture<Double> spilledSlots(int hall) {
-        CompletableFuture<Double> told = new CompletableFuture<>();
-        module.look(looked -> told.complete(looked.spilledSlots(hall)));
-        return told;
+        CompletableFuture<Double> slots = new CompletableFuture<>();
+        module.inspect(dispatcher -> slots.complete(dispatcher.spilledSlots(hall)));
+        return slots;
     }
 
-    /** Asks itself for a job of the first class over a socket, as a client would, and ends. */
-    public static void rehearse(SchedulerConfig setup) throws Exception {
-        Config config = setup.config();
+    /** Starts a scheduler, sends it a job of the first class and the operators' calls over sockets, and stops it. */
+    public static void rehearse(SchedulerConfig schedulerConfig) throws Exception {
+        Config config = schedulerConfig.config();
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
-        onHangUp(() -> {});
-        JobScheduler node = new JobScheduler(
-                setup, Clock.system(), timers, null, actions -> new Dispatcher(config.settings(), actions));
+        handleHangUp(() -> {});
+        JobScheduler scheduler = new JobScheduler(
+                schedulerConfig, Clock.system(), timers, null, actions -> new Dispatcher(config.settings(), actions));
         try (Socket client =
-                new Socket(config.listen().getAddress(), node.address().getPort())) {
+                new Socket(config.listen().getAddress(), scheduler.address().getPort())) {
             String name = config.classes().get(0);
             client.getOutputStream()
                     .write(("POST /" + name + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\n"
@@ -436,94 +471,97 @@
                                     + "Connection: close\r\n\r\nx")
                             .getBytes(StandardCharsets.ISO_8859_1));
             client.getInputStream().readAllBytes();
-            for (String call : node.ops == null
+            for (String call : scheduler.opsServer == null
                     ? new String[0]
                     : new String[] {"POST /v1/scheduler/drain", "POST /v1/scheduler/activate", "GET /v1/metrics"}) {
-                try (Socket operator =
-                        new Socket(config.ops().getAddress(), node.operators().getPort())) {
+                try (Socket operator = new Socket(
+                        config.ops().getAddress(), scheduler.opsAddress().getPort())) {
                     operator.getOutputStream()
                             .write((call + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
                     operator.getInputStream().readAllBytes();
                 }
             }
         } finally {
-            node.stop();
+            scheduler.stop();
         }
     }
 
     /**
-     * The JDK has no other way to take a signal; a shutdown hook hears of SIGHUP too, but cannot stop the end. By
-     * reflection, since every direct use of this class is a warning that nothing silences. False: the signal was ignored
-     * when the process started, and the JVM leaves it so.
+     * Handles SIGHUP by the action; false: it was ignored when the process started, which the JVM does not change.
+     * sun.misc.Signal is the only way: a shutdown hook also runs on SIGHUP but cannot stop the exit. It is used by
+     * reflection, since direct use gives a compiler warning that cannot be suppressed.
      */
-    static boolean onHangUp(Runnable run) {
+    static boolean handleHangUp(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal"), handler = Class.forName("sun.misc.SignalHandler");
             Object proxy =
                     Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
                         if (method.getName().equals("handle")) {
-                            run.run();
+                            action.run();
                             return null;
                         }
-                        return method.invoke(run, args); // what every object can be asked
+                        return method.invoke(action, args); // methods of Object
                     });
-            Object former = signal.getMethod("handle", signal, handler)
+            Object previous = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
-            return former != handler.getField("SIG_IGN").get(null);
+            return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             LOG.log(Level.WARNING, "SIGHUP cannot be handled and will end the process", e);
             return false;
         }
     }
 
-    /** Stands in for a signal that cannot be heard: a file that has changed is read as if it had come. */
-    void lookAgain(ConfigFiles files) {
-        configuration.post(() -> {
+    /** Reloads the configuration if its file has changed; stands in for SIGHUP. */
+    void reloadIfChanged(ConfigFiles files) {
+        configMailbox.post(() -> {
             if (files.isConfigChanged()) {
-                module.loaded(takeOver(files::read));
+                module.countReload(applyConfig(files::read));
             }
         });
     }
 
-    private void keepLooking(ConfigFiles files) {
+    private void pollConfig(ConfigFiles files) {
         timers.schedule(
                 () -> {
-                    lookAgain(files);
-                    keepLooking(files);
+                    reloadIfChanged(files);
+                    pollConfig(files);
                 },
-                LOOK_MILLIS,
+                CONFIG_POLL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Reads the configuration again and takes over what may change while requests are open; a bad one changes nothing. */
+    /** Reads the configuration again and applies the fields that need no restart; an invalid one changes nothing. */
     void reload(Supplier<SchedulerConfig> source) {
-        configuration.post(() -> module.loaded(takeOver(source)));
+        configMailbox.post(() -> module.countReload(applyConfig(source)));
     }
 
-    private boolean takeOver(Supplier<SchedulerConfig> source) {
+    private boolean applyConfig(Supplier<SchedulerConfig> source) {
         try {
-            SchedulerConfig setup = source.get();
-            Config read = setup.config().asReloadOf(config);
-            LOG.log(Level.INFO, "configuration read again: discovery {0}", read.discovery());
-            List<String> later = config.fieldsNeedingRestart(setup.config());
-            if (!later.isEmpty()) {
-                LOG.log(Level.WARNING, "changed, but taken over only at a start: {0}", String.join(", ", later));
+            SchedulerConfig schedulerConfig = source.get();
+            Config newConfig = schedulerConfig.config().asReloadOf(config);
+            LOG.log(Level.INFO, "configuration reloaded: discovery at {0}", newConfig.discovery());
+            List<String> needingRestart = config.fieldsNeedingRestart(schedulerConfig.config());
+            if (!needingRestart.isEmpty()) {
+                LOG.log(
+                        Level.WARNING,
+                        "configuration fields changed that take effect only at a restart: {0}",
+                        String.join(", ", needingRestart));
             }
-            if (!Objects.equals(servers, setup.operatorSettings().servers())) {
-                LOG.log(Level.WARNING, "operators' settings: servers changed, but is taken over only at a start");
+            if (!Objects.equals(serversFile, schedulerConfig.operatorSettings().servers())) {
+                LOG.log(Level.WARNING, "operator settings: servers changed, which takes effect only at a restart");
             }
-            module.settings(read.settings(), read.classes());
-            clients.updateSettings(read);
-            config = read;
-            entry.setGrace(read.grace());
-            entry.setAddress(read.discovery());
-            if (!Objects.equals(rules, setup.hallRules())) {
-                rules = setup.hallRules();
-                module.rules(rules);
+            module.changeSettings(newConfig.settings(), newConfig.classes());
+            clients.updateSettings(newConfig);
+            config = newConfig;
+            discovery.setGrace(newConfig.grace());
+            discovery.setAddress(newConfig.discovery());
+            if (!Objects.equals(hallRules, schedulerConfig.hallRules())) {
+                hallRules = schedulerConfig.hallRules();
+                module.changeHallRules(hallRules);
                 LOG.log(
                         Level.INFO,
-                        "operators' settings read again: {0}",
-                        setup.operatorSettings().summary());
+                        "operator settings reloaded: {0}",
+                        schedulerConfig.operatorSettings().summary());
             }
             return true;
         } catch (ConfigException e) {
@@ -532,101 +570,102 @@
         }
     }
 
-    /** Begins the end: all is answered and the clients are gone once the latch is down. */
+    /** Begins the shutdown; the latch opens once all requests are answered and the clients' connections closed. */
     CountDownLatch drain() {
         CountDownLatch ended = new CountDownLatch(1);
-        AtomicInteger owed = new AtomicInteger(3);
-        Runnable done = () -> {
-            if (owed.decrementAndGet() == 0) {
-                lastCall(ended);
+        AtomicInteger pendingParts = new AtomicInteger(3); // clients gone, requests answered, minimum time over
+        Runnable partDone = () -> {
+            if (pendingParts.decrementAndGet() == 0) {
+                closeClientListener(ended);
             }
         };
-        standing.updateAndGet(ServiceState::end);
-        long deadline = Arrays.stream(config.settings().classes)
+        serviceState.updateAndGet(ServiceState::end);
+        long deadlineMillis = Arrays.stream(config.settings().classes)
                 .mapToLong(c -> c.deadlineMicros() / 1000)
                 .max()
                 .orElse(0);
-        long grace = Math.min(LONGEST_GRACE, deadline) + MORE_GRACE;
-        clients.scheduleEnd(grace - LAST_WORD);
-        module.endsIn(grace - LAST_WORD);
-        // Guards clients against a gap: schedulers restarted one after the other were once all closed to new
-        // connections for 2 s. So the first one's clients go to the others in time, and the last one's stay.
-        Consumer<Boolean> release = othersServe -> timers.schedule(
+        long graceMillis = Math.min(MAX_JOB_GRACE_MILLIS, deadlineMillis) + EXTRA_GRACE_MILLIS;
+        clients.scheduleEnd(graceMillis - FINAL_ANSWER_MILLIS);
+        module.scheduleFinalAnswers(graceMillis - FINAL_ANSWER_MILLIS);
+        // Schedulers restarted one after the other were once all closed to new connections for 2 s. So clients are sent
+        // away early only if another scheduler serves; else they stay as long as possible.
+        Consumer<Boolean> releaseClients = othersServe -> timers.schedule(
                 () -> {
-                    closeIdle(standing.updateAndGet(ServiceState::closeConnections), true);
-                    clients.whenEmpty(done);
-                    module.whenIdle(done);
+                    closeIdleRepeatedly(serviceState.updateAndGet(ServiceState::closeConnections), true);
+                    clients.whenEmpty(partDone);
+                    module.runWhenIdle(partDone);
                 },
-                othersServe ? SETTLE : Math.max(SETTLE, grace - USUAL_JOB),
+                othersServe ? SETTLE_MILLIS : Math.max(SETTLE_MILLIS, graceMillis - USUAL_JOB_MILLIS),
                 TimeUnit.MILLISECONDS);
-        if (followed) {
-            // The process after us has our clients and speaks to our peers; what we have taken is ours to answer.
-            dialer.stopListening(server, () -> {});
+        if (successorServing) {
+            // The successor accepts clients and talks to peers; this process only answers the requests that it has.
+            connectionManager.stopListening(clientListener, () -> {});
             if (peers != null) {
                 peers.stopReceiving();
             }
-            standing.updateAndGet(ServiceState::closeConnections);
-            release.accept(true);
+            serviceState.updateAndGet(ServiceState::closeConnections);
+            releaseClients.accept(true);
         } else if (peers == null) {
-            release.accept(false);
+            releaseClients.accept(false);
         } else {
-            peers.announceEnd(release);
+            peers.announceEnd(releaseClients);
         }
-        timers.schedule(done, STAY, TimeUnit.MILLISECONDS);
+        timers.schedule(partDone, MIN_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
         return ended;
     }
 
     /**
-     * Nothing is open any more, but as long as we listen somebody may have come since: the queue of those that wait to be
-     * taken in is emptied before the socket is closed, and they get their answers too.
+     * Stops listening once nothing is open. Clients may still wait in the accept queue: they are accepted before the socket
+     * is closed, and get their answers too.
      */
-    private void lastCall(CountDownLatch ended) {
-        ServerSocketChannel listening = server;
-        if (listening == null || !listening.isOpen()) {
+    private void closeClientListener(CountDownLatch ended) {
+        ServerSocketChannel listener = clientListener;
+        if (listener == null || !listener.isOpen()) {
             ended.countDown();
         } else {
-            dialer.stopListening(listening, () -> dialer.whenClientsGone(() -> module.whenIdle(ended::countDown)));
+            connectionManager.stopListening(
+                    listener, () -> connectionManager.whenClientsGone(() -> module.runWhenIdle(ended::countDown)));
         }
     }
 
-    /** Where it listens. */
+    /** The address on which clients are accepted. */
     public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) server.getLocalAddress();
+        return (InetSocketAddress) clientListener.getLocalAddress();
     }
 
-    /** Where it listens to operators. */
-    InetSocketAddress operators() throws IOException {
-        return ops.address();
+    /** The address of the operators' server. */
+    InetSocketAddress opsAddress() throws IOException {
+        return opsServer.address();
     }
 
-    /** Whether a process after this one serves. */
-    boolean isFollowed() {
-        return followed;
+    /** Whether the successor of an upgrade serves clients. */
+    boolean isSuccessorServing() {
+        return successorServing;
     }
 
-    /** Whether new clients may come to this process. */
-    boolean listens() {
-        return server != null && server.isOpen();
+    /** Whether this process accepts new clients. */
+    boolean isListening() {
+        return clientListener != null && clientListener.isOpen();
     }
 
-    /** Stops at once; what is open is lost. */
+    /** Stops at once; open requests are lost. */
     public void stop() throws IOException {
-        if (server != null) {
-            server.close();
+        if (clientListener != null) {
+            clientListener.close();
         }
-        if (succession != null) {
-            succession.stop();
+        if (upgrade != null) {
+            upgrade.stop();
         }
-        if (ops != null) {
-            ops.stop();
+        if (opsServer != null) {
+            opsServer.stop();
         }
-        if (keeper != null) {
-            keeper.stop();
+        if (serverList != null) {
+            serverList.stop();
         }
         if (peers != null) {
             peers.stop();
         }
-        LifeCycle.stop(dialer);
+        LifeCycle.stop(connectionManager);
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
