--- a/src/main/java/barrowshore/cli/HollowCommand.java
+++ b/src/main/java/barrowshore/cli/HollowCommand.java
@@ -6,39 +6,44 @@
 import org.kohsuke.args4j.Option;
 
 /** Hollow schedulers and workers at the target size, with real schedulers among them. */
-@Main.About(
+@Main.Description(
         "Measures schedulers at the target size: hollow ones in this process and real ones, before the same workers.")
 public final class HollowCommand implements Main.Command {
     @Option(name = "--workers", metaVar = "N", usage = "workers (default 770)")
-    int workers = 770;
+    int workerCount = 770;
 
     @Option(name = "--schedulers", metaVar = "N", usage = "schedulers, hollow and real together (default 10)")
-    int schedulers = 10;
+    int schedulerCount = 10;
 
     @Option(
             name = "--real",
             metaVar = "N",
             usage = "real processes among them (default 5); of two or more, the first has no clients")
-    int real = 5;
+    int realSchedulerCount = 5;
 
     @Option(name = "--starts", metaVar = "N", usage = "task starts a second over all schedulers (default 260)")
-    int starts = 260;
+    int startsPerSecond = 260;
 
     @Option(name = "--seconds", metaVar = "N", usage = "how long is measured, once all has settled (default 30)")
-    int seconds = 30;
+    int measuredSeconds = 30;
 
     @Option(name = "--seed", metaVar = "N", usage = "draws the load and who is replaced (default 1)")
     long seed = 1;
 
     @Option(name = "--csv", metaVar = "FILE", usage = "writes a line for each scheduler")
-    Path csv;
+    Path csvFile;
 
     @Option(name = "--deploy", metaVar = "FILE", usage = "whose run line has the JVM's options (default: none are set)")
-    Path deploy;
+    Path deployFile;
 
     @Override
     public void run() throws Exception {
         SimulatedFleetRun.run(
-                new SimulatedFleetPlan(workers, schedulers, real, starts, seconds), csv, deploy, seed, System.out);
+                new SimulatedFleetPlan(
+                        workerCount, schedulerCount, realSchedulerCount, startsPerSecond, measuredSeconds),
+                csvFile,
+                deployFile,
+                seed,
+                System.out);
     }
 }
--- a/src/main/java/barrowshore/cli/Main.java
+++ b/src/main/java/barrowshore/cli/Main.java
@@ -48,7 +48,7 @@
  * requests, and never write to standard output while {@code drill} runs, whose replies go there.
  */
 public final class Main {
-    private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
+    private static final String LOG_FORMAT_PROPERTY = "java.util.logging.SimpleFormatter.format";
 
     /** A sub-command. */
     interface Command {
@@ -57,96 +57,102 @@
 
     /** What a sub-command is for, on one line. */
     @Retention(RetentionPolicy.RUNTIME)
-    @interface About {
+    @interface Description {
         String value();
     }
 
     /** Serves requests on real sockets. */
-    @About("Serves requests on real sockets until SIGTERM.")
-    public static final class Serve implements Command {
+    @Description("Serves requests on real sockets until SIGTERM.")
+    public static final class ServeCommand implements Command {
         @Option(name = "--config", metaVar = "FILE", usage = "configuration (default: $GW_CONFIG)")
-        Path config;
+        Path configFile;
 
         @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
-        Path operator;
+        Path operatorFile;
 
         @Option(name = "--with", metaVar = "PID", usage = "ends at once when that process has ended")
-        long with;
+        long watchedPid;
 
         @Override
         public void run() throws Exception {
-            if (with > 0) {
+            if (watchedPid > 0) {
                 // Whoever started it for a while may be killed: nobody else would end it then.
-                ProcessHandle.of(with)
-                        .orElseThrow(() -> new ConfigException("--with: there is no process " + with))
+                ProcessHandle.of(watchedPid)
+                        .orElseThrow(() -> new ConfigException("--with: there is no process " + watchedPid))
                         .onExit()
                         .thenRun(() -> Runtime.getRuntime().halt(1));
             }
-            JobScheduler.serve(files(config, operator));
+            JobScheduler.serve(configFiles(configFile, operatorFile));
         }
     }
 
     /** Serves a job to itself and ends, so that the JVM can archive what a start loads; see deploy/archive.sh. */
-    @About("Serves one job to itself and ends, so that the JVM can archive what a start loads.")
-    public static final class Rehearse implements Command {
+    @Description("Serves one job to itself and ends, so that the JVM can archive what a start loads.")
+    public static final class RehearseCommand implements Command {
         @Option(name = "--config", metaVar = "FILE", usage = "configuration (default: $GW_CONFIG)")
-        Path config;
+        Path configFile;
 
         @Override
         public void run() throws Exception {
-            JobScheduler.rehearse(files(config, null).read());
+            JobScheduler.rehearse(configFiles(configFile, null).read());
         }
     }
 
     /** Reads the configuration, or the operators' settings, or both, and says what is wrong with them. */
-    @About("Reads the configuration, the operators' settings, or both, and says what is wrong with them.")
-    public static final class Check implements Command {
+    @Description("Reads the configuration, the operators' settings, or both, and says what is wrong with them.")
+    public static final class CheckCommand implements Command {
         @Option(name = "--config", metaVar = "FILE", usage = "configuration (default: $GW_CONFIG)")
-        Path config;
+        Path configFile;
 
         @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
-        Path operator;
+        Path operatorFile;
 
         @Override
         public void run() {
-            String inEnvironment = System.getenv("GW_CONFIG");
-            if (operator != null && config == null && (inEnvironment == null || inEnvironment.isEmpty())) {
-                System.out.println(
-                        operator + ": " + OperatorSettings.read(operator).summary());
+            String environmentConfig = System.getenv("GW_CONFIG");
+            if (operatorFile != null
+                    && configFile == null
+                    && (environmentConfig == null || environmentConfig.isEmpty())) {
+                System.out.println(operatorFile + ": "
+                        + OperatorSettings.read(operatorFile).summary());
                 return;
             }
-            SchedulerConfig setup = files(config, operator).read();
-            System.out.println(setup.config().summary()
-                    + (operator == null
+            SchedulerConfig schedulerConfig =
+                    configFiles(configFile, operatorFile).read();
+            System.out.println(schedulerConfig.config().summary()
+                    + (operatorFile == null
                             ? ""
-                            : "\n" + operator + ": " + setup.operatorSettings().summary()));
+                            : "\n" + operatorFile + ": "
+                                    + schedulerConfig.operatorSettings().summary()));
         }
     }
 
     /** Hosts decision modules on the simulator's wire. */
-    @About("Hosts decision modules on the simulator's wire: standard input and output.")
-    public static final class Drill implements Command {
+    @Description("Hosts decision modules on the simulator's wire: standard input and output.")
+    public static final class DrillCommand implements Command {
         @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
-        Path operator;
+        Path operatorFile;
 
         @Override
         public void run() throws IOException {
-            OperatorSettings read = operator == null ? OperatorSettings.NONE : OperatorSettings.read(operator);
+            OperatorSettings operatorSettings =
+                    operatorFile == null ? OperatorSettings.NONE : OperatorSettings.read(operatorFile);
             new WireHost(
                             new FileInputStream(FileDescriptor.in),
                             new FileOutputStream(FileDescriptor.out),
-                            (zones, settings) -> settings.halls =
-                                    read.halls() == null ? null : read.halls().rulesFor(zones, settings.zone))
+                            (zones, settings) -> settings.halls = operatorSettings.halls() == null
+                                    ? null
+                                    : operatorSettings.halls().rulesFor(zones, settings.zone))
                     .run();
         }
     }
 
     /** A fleet of real processes with faults between them. */
-    @About(
+    @Description(
             "Starts a fleet of real schedulers before stand-in workers, with load and faults, and checks what must hold.")
-    public static final class RunFleet implements Command {
+    public static final class FleetCommand implements Command {
         @Argument(index = 0, required = true, metaVar = "SCENARIO", usage = "the fleet's XML file")
-        Path scenario;
+        Path scenarioFile;
 
         @Option(name = "--folder", metaVar = "DIR", usage = "for logs, events and figures (default: a new one)")
         Path folder;
@@ -155,95 +161,97 @@
                 name = "--deploy",
                 metaVar = "FILE",
                 usage = "whose run line has the JVM's options (default: none are set)")
-        Path deploy;
+        Path deployFile;
 
         @Override
         public void run() throws Exception {
-            FleetScenario read = FleetScenario.read(scenario);
-            Path to = folder != null ? folder : Files.createTempDirectory("fleet");
-            System.out.println("logs and figures in " + to);
-            if (!Fleet.run(read, to, deploy, System.out).violations().isEmpty()) {
-                throw new Broken();
+            FleetScenario scenario = FleetScenario.read(scenarioFile);
+            Path outputFolder = folder != null ? folder : Files.createTempDirectory("fleet");
+            System.out.println("logs and figures in " + outputFolder);
+            if (!Fleet.run(scenario, outputFolder, deployFile, System.out)
+                    .violations()
+                    .isEmpty()) {
+                throw new CheckFailedException();
             }
         }
     }
 
     /** A small site to watch. */
-    @About("Starts two halls of stand-in nodes, two schedulers and a light load; loses a hall and regains it.")
-    public static final class Show implements Command {
+    @Description("Starts two halls of stand-in nodes, two schedulers and a light load; loses a hall and regains it.")
+    public static final class DemoCommand implements Command {
         @Option(name = "--hold", usage = "goes on after that, until it is stopped")
-        boolean hold;
+        boolean keepRunning;
 
         @Override
         public void run() throws Exception {
-            Demo.play(System.out, hold);
+            Demo.play(System.out, keepRunning);
         }
     }
 
     /** Looks at lists of servers kept in files. */
-    @About("Looks at lists of servers: servers check|show|sign FILE, servers diff FILE FILE.")
-    public static final class Servers implements Command {
+    @Description("Looks at lists of servers: servers check|show|sign FILE, servers diff FILE FILE.")
+    public static final class ServersCommand implements Command {
         @Argument(index = 0, required = true, metaVar = "check | show | diff | sign", usage = "what to do")
-        String what;
+        String action;
 
         @Argument(index = 1, required = true, metaVar = "FILE", usage = "the list; for diff the one in use")
         Path file;
 
         @Argument(index = 2, metaVar = "FILE", usage = "for diff: the one that would follow")
-        Path other;
+        Path nextFile;
 
         @Option(
                 name = "--most-lost",
                 metaVar = "SHARE",
                 usage = "the share of capacity that may go at once (default 0.5)")
-        double mostLost = 0.5;
+        double maxLostShare = 0.5;
 
         @Option(
                 name = "--keys",
                 metaVar = "DIR",
                 usage = "the directory of keys, ID.key each: check verifies, sign signs")
-        Path keys;
+        Path keyDirectory;
 
         @Option(name = "--key", metaVar = "ID", usage = "for sign: a key's id; may be given twice")
-        List<String> ids = new ArrayList<>();
+        List<String> keyIds = new ArrayList<>();
 
         @Override
         public void run() throws IOException {
             OperatorServerList list = ServersFile.read(file);
-            switch (what) {
+            switch (action) {
                 case "check" -> {
-                    if (keys != null) {
-                        new FileSigner(keys).verify(file, Files.readAllBytes(file));
+                    if (keyDirectory != null) {
+                        new FileSigner(keyDirectory).verify(file, Files.readAllBytes(file));
                     }
                     System.out.println(file + ": " + list.summary());
                 }
                 case "sign" -> {
-                    if (keys == null || ids.isEmpty()) {
+                    if (keyDirectory == null || keyIds.isEmpty()) {
                         throw new ConfigException("servers sign needs --keys DIR and --key ID");
                     }
-                    new FileSigner(keys).sign(file, ids);
+                    new FileSigner(keyDirectory).sign(file, keyIds);
                 }
                 case "show" -> ServerListChangePolicy.format(list).forEach(System.out::println);
                 case "diff" -> {
-                    if (other == null) {
+                    if (nextFile == null) {
                         throw new ConfigException("servers diff needs two files");
                     }
-                    OperatorServerList next = ServersFile.read(other);
+                    OperatorServerList next = ServersFile.read(nextFile);
                     ServerListChangePolicy.diff(list, next).forEach(System.out::println);
-                    ServerListChangePolicy.Decision verdict = ServerListChangePolicy.check(list, next, mostLost);
-                    System.out.println(verdict.outcome().name().toLowerCase(Locale.ROOT)
-                            + (verdict.reason().isEmpty() ? "" : ": " + verdict.reason()));
+                    ServerListChangePolicy.Decision decision = ServerListChangePolicy.check(list, next, maxLostShare);
+                    System.out.println(decision.outcome().name().toLowerCase(Locale.ROOT)
+                            + (decision.reason().isEmpty() ? "" : ": " + decision.reason()));
                 }
-                default -> throw new ConfigException("servers: " + what + " is none of check, show, diff, sign");
+                default -> throw new ConfigException("servers: " + action + " is none of check, show, diff, sign");
             }
         }
     }
 
     /** Plays a scenario in virtual time. */
-    @About("Plays a scenario in virtual time: real decisions against models of order nodes.")
-    public static final class Emulate implements Command {
+    @Description("Plays a scenario in virtual time: real decisions against models of order nodes.")
+    public static final class EmulateCommand implements Command {
         @Argument(index = 0, metaVar = "SCENARIO", usage = "the scenario's XML file")
-        Path scenario;
+        Path scenarioFile;
 
         @Option(
                 name = "--deployments",
@@ -251,59 +259,59 @@
                 forbids = {"--operator", "--json", "--compare", "--seeds"},
                 usage = "in place of a scenario: so many deployments drawn by seeds, a day on each; "
                         + "where it loses, worst first")
-        int deployments;
+        int deploymentCount;
 
         @Option(name = "--rivals", depends = "--deployments", usage = "and the same days by textbook policies")
-        boolean rivals;
+        boolean includeRivals;
 
         @Option(
                 name = "--csv",
                 metaVar = "FILE",
                 depends = "--deployments",
                 usage = "writes every deployment's figures")
-        Path csv;
+        Path csvFile;
 
         @Option(name = "--seed", metaVar = "N", usage = "the first seed (default 1)")
-        long seed = 1;
+        long firstSeed = 1;
 
         @Option(name = "--seeds", metaVar = "COUNT", usage = "so many seeds, and a table over all of them (default 1)")
-        int seeds = 1;
+        int seedCount = 1;
 
         @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
-        Path operator;
+        Path operatorFile;
 
         @Option(name = "--json", metaVar = "FILE", usage = "writes the reports for programs")
-        Path json;
+        Path jsonFile;
 
         @Option(name = "--compare", usage = "each seed twice, with and without the operators' settings")
         boolean compare;
 
         @Override
         public void run() throws IOException {
-            if (deployments == 0 == (scenario == null)) {
+            if (deploymentCount == 0 == (scenarioFile == null)) {
                 throw new ConfigException("emulate needs a scenario's file or --deployments COUNT, and not both");
             }
-            if (scenario == null) {
-                DeploymentComparison.run(System.out, deployments, seed, rivals, csv);
+            if (scenarioFile == null) {
+                DeploymentComparison.run(System.out, deploymentCount, firstSeed, includeRivals, csvFile);
                 return;
             }
             ScenarioRunner.run(
                     System.out,
-                    Scenario.read(scenario),
-                    operator == null ? OperatorSettings.NONE : OperatorSettings.read(operator),
-                    seed,
-                    seeds,
+                    Scenario.read(scenarioFile),
+                    operatorFile == null ? OperatorSettings.NONE : OperatorSettings.read(operatorFile),
+                    firstSeed,
+                    seedCount,
                     compare,
-                    json);
+                    jsonFile);
         }
     }
 
     /** Measures what a scheduler spends on control, against the fleet's size. */
-    @About(
+    @Description(
             "Plays fleets of real decision modules in virtual time and prints what control costs each scheduler by size.")
-    public static final class Capacity implements Command {
+    public static final class CapacityCommand implements Command {
         private static final FleetSize TARGET = FleetSize.target();
-        private static final int SECONDS = 20, PLAYS = 3;
+        private static final int DEFAULT_MEASURED_SECONDS = 20, DEFAULT_PLAYS_PER_SIZE = 3;
 
         @Option(name = "--workers", metaVar = "COUNT", handler = SizeOption.class, usage = "default: the target's 770")
         double workers = TARGET.workers();
@@ -316,7 +324,7 @@
                 metaVar = "RATE",
                 handler = SizeOption.class,
                 usage = "task starts a second, all schedulers (default: the target's 260)")
-        double starts = TARGET.startsPerSecond();
+        double startsPerSecond = TARGET.startsPerSecond();
 
         @Option(name = "--tenants", metaVar = "COUNT", handler = SizeOption.class, usage = "default: the target's 43")
         double tenants = TARGET.tenants();
@@ -326,21 +334,21 @@
                 metaVar = "RATE",
                 handler = SizeOption.class,
                 usage = "machines replaced a second (default: the target's)")
-        double listChanges = TARGET.listChangesPerSecond();
+        double listChangesPerSecond = TARGET.listChangesPerSecond();
 
         @Option(
                 name = "--config-changes",
                 metaVar = "RATE",
                 handler = SizeOption.class,
                 usage = "changes of configuration a second (default: the target's)")
-        double configChanges = TARGET.settingsChangesPerSecond();
+        double configChangesPerSecond = TARGET.settingsChangesPerSecond();
 
         @Option(
                 name = "--seconds",
                 metaVar = "COUNT",
                 handler = SizeOption.class,
                 usage = "virtual seconds that are measured (default 20)")
-        double seconds = SECONDS;
+        double measuredSeconds = DEFAULT_MEASURED_SECONDS;
 
         @Option(name = "--seed", metaVar = "N", handler = SizeOption.class, usage = "of all chance (default 1)")
         double seed = 1;
@@ -350,60 +358,60 @@
                 metaVar = "COUNT",
                 handler = SizeOption.class,
                 usage = "plays of each size, for the spread of the times (default 3)")
-        double plays = PLAYS;
+        double playsPerSize = DEFAULT_PLAYS_PER_SIZE;
 
         @Option(name = "--loss", metaVar = "SHARE", handler = SizeOption.class, usage = "of datagrams lost (default 0)")
-        double loss;
+        double lostShare;
 
         @Option(
                 name = "--doubled",
                 metaVar = "SHARE",
                 handler = SizeOption.class,
                 usage = "of datagrams that come twice (default 0)")
-        double doubled;
+        double duplicatedShare;
 
         @Option(name = "--reports", usage = "workers report their load in answers")
-        boolean reports;
+        boolean workersReportLoad;
 
         @Option(name = "--no-guesses", usage = "tasks come without a guess at their work")
-        boolean noGuesses;
+        boolean withoutWorkHints;
 
         @Option(name = "--counts", usage = "counts alone, one play: no times, the same on every machine")
-        boolean counts;
+        boolean countsOnly;
 
         @Option(name = "--sweep", metaVar = "NAME", usage = "sweeps, with commas between, all (default), or none")
-        String sweep = "all";
+        String sweepNames = "all";
 
         @Option(name = "--csv", metaVar = "FILE", usage = "writes every figure")
-        Path csv;
+        Path csvFile;
 
         @Override
         public void run() throws Exception {
             FleetSize size = new FleetSize(
                     SizeOption.toWholeNumber("--workers", workers),
                     SizeOption.toWholeNumber("--schedulers", schedulers),
-                    starts,
+                    startsPerSecond,
                     SizeOption.toWholeNumber("--tenants", tenants),
-                    listChanges,
-                    configChanges);
+                    listChangesPerSecond,
+                    configChangesPerSecond);
             SimulationOptions options = new SimulationOptions(
-                    SizeOption.toWholeNumber("--seconds", seconds),
+                    SizeOption.toWholeNumber("--seconds", measuredSeconds),
                     SizeOption.toWholeNumber("--seed", seed),
-                    SizeOption.toWholeNumber("--plays", plays),
-                    !counts,
-                    loss,
-                    doubled,
-                    reports,
-                    !noGuesses);
-            if (!CapacityRun.run(System.out, size, options, Sweep.parseNames(sweep), csv)) {
-                throw new Broken();
+                    SizeOption.toWholeNumber("--plays", playsPerSize),
+                    !countsOnly,
+                    lostShare,
+                    duplicatedShare,
+                    workersReportLoad,
+                    !withoutWorkHints);
+            if (!CapacityRun.run(System.out, size, options, Sweep.parseNames(sweepNames), csvFile)) {
+                throw new CheckFailedException();
             }
         }
     }
 
     /** Prints the version. */
-    @About("Prints the version.")
-    public static final class Version implements Command {
+    @Description("Prints the version.")
+    public static final class VersionCommand implements Command {
         @Override
         public void run() {
             String version = Main.class.getPackage().getImplementationVersion();
@@ -413,47 +421,47 @@
 
     @Argument(index = 0, required = true, metaVar = "COMMAND", usage = "what to do", handler = SubCommandHandler.class)
     @SubCommands({
-        @SubCommand(name = "serve", impl = Serve.class),
-        @SubCommand(name = "check", impl = Check.class),
-        @SubCommand(name = "drill", impl = Drill.class),
-        @SubCommand(name = "servers", impl = Servers.class),
-        @SubCommand(name = "demo", impl = Show.class),
-        @SubCommand(name = "fleet", impl = RunFleet.class),
-        @SubCommand(name = "emulate", impl = Emulate.class),
-        @SubCommand(name = "capacity", impl = Capacity.class),
+        @SubCommand(name = "serve", impl = ServeCommand.class),
+        @SubCommand(name = "check", impl = CheckCommand.class),
+        @SubCommand(name = "drill", impl = DrillCommand.class),
+        @SubCommand(name = "servers", impl = ServersCommand.class),
+        @SubCommand(name = "demo", impl = DemoCommand.class),
+        @SubCommand(name = "fleet", impl = FleetCommand.class),
+        @SubCommand(name = "emulate", impl = EmulateCommand.class),
+        @SubCommand(name = "capacity", impl = CapacityCommand.class),
         @SubCommand(name = "hollow", impl = HollowCommand.class),
-        @SubCommand(name = "rehearse", impl = Rehearse.class),
-        @SubCommand(name = "version", impl = Version.class)
+        @SubCommand(name = "rehearse", impl = RehearseCommand.class),
+        @SubCommand(name = "version", impl = VersionCommand.class)
     })
     Command command;
 
-    private static ConfigFiles files(Path file, Path operator) {
-        String path = file != null ? file.toString() : System.getenv("GW_CONFIG");
+    private static ConfigFiles configFiles(Path configFile, Path operatorFile) {
+        String path = configFile != null ? configFile.toString() : System.getenv("GW_CONFIG");
         if (path == null || path.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set and no --config is given");
         }
-        return new ConfigFiles(Path.of(path), System.getenv("GW_OPS"), operator);
+        return new ConfigFiles(Path.of(path), System.getenv("GW_OPS"), operatorFile);
     }
 
     public static void main(String[] args) throws Exception {
         // One line a message: what is read beside a pager must not need two.
-        if (System.getProperty(LOG_FORMAT) == null) {
-            System.setProperty(LOG_FORMAT, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
+        if (System.getProperty(LOG_FORMAT_PROPERTY) == null) {
+            System.setProperty(LOG_FORMAT_PROPERTY, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
         }
         System.exit(run(args));
     }
 
     /** What a command is for, and its options: of the one that the words begin with, or of all. */
-    private static int help(List<String> args) throws ReflectiveOperationException {
-        SubCommand[] all = Main.class
+    private static int printHelp(List<String> args) throws ReflectiveOperationException {
+        SubCommand[] subCommands = Main.class
                 .getDeclaredField("command")
                 .getAnnotation(SubCommands.class)
                 .value();
-        for (SubCommand one : all) {
-            if (!args.isEmpty() && one.name().equals(args.get(0))) {
-                System.out.println("usage: barrowshore " + one.name() + " [options]\n"
-                        + one.impl().getAnnotation(About.class).value());
-                new CmdLineParser(one.impl().getDeclaredConstructor().newInstance()).printUsage(System.out);
+        for (SubCommand subCommand : subCommands) {
+            if (!args.isEmpty() && subCommand.name().equals(args.get(0))) {
+                System.out.println("usage: barrowshore " + subCommand.name() + " [options]\n"
+                        + subCommand.impl().getAnnotation(Description.class).value());
+                new CmdLineParser(subCommand.impl().getDeclaredConstructor().newInstance()).printUsage(System.out);
                 return 0;
             }
         }
@@ -462,25 +470,26 @@
             return 2;
         }
         System.out.println("usage: barrowshore COMMAND [options]; barrowshore COMMAND --help says more");
-        for (SubCommand one : all) {
+        for (SubCommand subCommand : subCommands) {
             System.out.printf(
                     "  %-10s %s%n",
-                    one.name(), one.impl().getAnnotation(About.class).value());
+                    subCommand.name(),
+                    subCommand.impl().getAnnotation(Description.class).value());
         }
         return 0;
     }
 
-    private static int usage() {
+    private static int reportMissingCommand() {
         System.err.println("barrowshore: a command is missing; barrowshore --help lists them");
         return 2;
     }
 
     static int run(String... args) throws Exception {
         if (args.length == 0 || Arrays.asList(args).contains("--help") || args[0].equals("help")) {
-            List<String> words = Arrays.asList(args);
+            List<String> helpArgs = Arrays.asList(args);
             return args.length == 0
-                    ? usage()
-                    : help(words.get(0).equals("help") ? words.subList(1, words.size()) : words);
+                    ? reportMissingCommand()
+                    : printHelp(helpArgs.get(0).equals("help") ? helpArgs.subList(1, helpArgs.size()) : helpArgs);
         }
         Main main = new Main();
         CmdLineParser parser = new CmdLineParser(main);
@@ -498,13 +507,13 @@
         } catch (WireException e) {
             System.err.println("barrowshore: " + e.getMessage());
             return 1;
-        } catch (Broken e) {
+        } catch (CheckFailedException e) {
             return 1;
         }
     }
 
     /** What was asked for was done, and what it found has been said: it is not well. */
-    private static final class Broken extends Exception {
+    private static final class CheckFailedException extends Exception {
         private static final long serialVersionUID = 1;
     }
 }
--- a/src/main/java/barrowshore/operator/ConfigFiles.java
+++ b/src/main/java/barrowshore/operator/ConfigFiles.java
@@ -9,30 +9,30 @@
  * nothing else, and is used by one thread at a time.
  */
 public final class ConfigFiles {
-    private final Path config;
-    private final String ops;
-    private final Path operator;
-    private String last = "";
+    private final Path configFile;
+    private final String opsAddress;
+    private final Path operatorFile;
+    private String lastConfigText = "";
 
     /** ops: the operators' address in the environment; operator: the operators' settings; null: none. */
-    public ConfigFiles(Path config, String ops, Path operator) {
-        this.config = config;
-        this.ops = ops;
-        this.operator = operator;
+    public ConfigFiles(Path configFile, String opsAddress, Path operatorFile) {
+        this.configFile = configFile;
+        this.opsAddress = opsAddress;
+        this.operatorFile = operatorFile;
     }
 
     /** Reads all of it; a {@link ConfigException} tells what is wrong. */
     public SchedulerConfig read() {
-        last = Config.readText(config);
+        lastConfigText = Config.readText(configFile);
         return new SchedulerConfig(
-                Config.parse(last).withOpsAddress(ops),
-                operator == null ? OperatorSettings.NONE : OperatorSettings.read(operator));
+                Config.parse(lastConfigText).withOpsAddress(opsAddress),
+                operatorFile == null ? OperatorSettings.NONE : OperatorSettings.read(operatorFile));
     }
 
     /** Whether the configuration is another one by now; one that cannot be read is none. */
     public boolean isConfigChanged() {
         try {
-            return !Config.readText(config).equals(last);
+            return !Config.readText(configFile).equals(lastConfigText);
         } catch (ConfigException e) {
             return false;
         }
--- a/src/main/java/barrowshore/operator/OperatorSettings.java
+++ b/src/main/java/barrowshore/operator/OperatorSettings.java
@@ -40,16 +40,16 @@
      * first choice first.
      */
     public record HallSettings(
-            Map<String, List<List<String>>> preference,
+            Map<String, List<List<String>>> tiersByHomeHall,
             boolean strict,
-            double spill,
+            double spillShare,
             double doubtShare,
-            long darkAfter,
-            long trialEvery,
-            long settle,
-            long holdOff,
-            long holdMost,
-            long flapWindow,
+            long darkAfterMicros,
+            long trialPauseMicros,
+            long settleMicros,
+            long holdOffMicros,
+            long maxHoldOffMicros,
+            long flapWindowMicros,
             double retryShare,
             double retryBurst) {
         /** What an empty element says. */
@@ -63,10 +63,10 @@
          * out is of one tier more; a preference for a hall that there is not is an error.
          */
         public HallRules rulesFor(List<String> zones, int zone) {
-            for (Map.Entry<String, List<List<String>>> of : preference.entrySet()) {
-                List<String> named = new ArrayList<>(List.of(of.getKey()));
-                of.getValue().forEach(named::addAll);
-                for (String name : named) {
+            for (Map.Entry<String, List<List<String>>> preference : tiersByHomeHall.entrySet()) {
+                List<String> namedHalls = new ArrayList<>(List.of(preference.getKey()));
+                preference.getValue().forEach(namedHalls::addAll);
+                for (String name : namedHalls) {
                     if (!zones.contains(name)) {
                         throw new ConfigException("halls: preference names " + name + ", which is none of the zones "
                                 + String.join(", ", zones));
@@ -75,29 +75,29 @@
             }
             List<List<String>> tiers = zone < 0 || zone >= zones.size()
                     ? List.of()
-                    : preference.getOrDefault(zones.get(zone), List.of(List.of(zones.get(zone))));
-            List<Integer> tier = new ArrayList<>();
+                    : tiersByHomeHall.getOrDefault(zones.get(zone), List.of(List.of(zones.get(zone))));
+            List<Integer> tiersByHall = new ArrayList<>();
             for (String name : zones) {
-                int at = 0;
-                while (at < tiers.size() && !tiers.get(at).contains(name)) {
-                    at++;
+                int tierNumber = 0;
+                while (tierNumber < tiers.size() && !tiers.get(tierNumber).contains(name)) {
+                    tierNumber++;
                 }
-                tier.add(at);
+                tiersByHall.add(tierNumber);
             }
             int home = zone < zones.size() ? zone : -1;
             return new HallRules(
                     zones,
                     home,
-                    tier,
+                    tiersByHall,
                     strict,
-                    spill,
+                    spillShare,
                     doubtShare,
-                    darkAfter,
-                    trialEvery,
-                    settle,
-                    holdOff,
-                    holdMost,
-                    flapWindow,
+                    darkAfterMicros,
+                    trialPauseMicros,
+                    settleMicros,
+                    holdOffMicros,
+                    maxHoldOffMicros,
+                    flapWindowMicros,
                     retryShare,
                     retryBurst);
         }
@@ -105,73 +105,73 @@
 
     /** Reads a file; a {@link ConfigException} names line, column and element. */
     public static OperatorSettings read(Path file) {
-        return of(file.toString(), XmlFile.read(file, OperatorSettings.class, "operator.xsd"));
+        return fromXml(file.toString(), XmlFile.read(file, OperatorSettings.class, "operator.xsd"));
     }
 
     /** Reads a text as the file of that name. */
     public static OperatorSettings parse(String file, String text) {
-        return of(
+        return fromXml(
                 file,
                 XmlFile.read(file, text.getBytes(StandardCharsets.UTF_8), OperatorSettings.class, "operator.xsd"));
     }
 
-    private static OperatorSettings of(String file, Element root) {
-        Element halls = root.firstChildNamed("halls");
-        Element servers = root.firstChildNamed("servers");
+    private static OperatorSettings fromXml(String file, Element root) {
+        Element hallsElement = root.firstChildNamed("halls");
+        Element serversElement = root.firstChildNamed("servers");
         return new OperatorSettings(
-                halls == null ? null : halls(file, halls),
-                servers == null
+                hallsElement == null ? null : halls(file, hallsElement),
+                serversElement == null
                         ? null
                         : new ServersFileSettings(
-                                Path.of(servers.get("file")),
-                                servers.number("most-lost"),
-                                "file".equals(servers.get("first")),
-                                servers.get("keys") == null ? null : Path.of(servers.get("keys"))));
+                                Path.of(serversElement.get("file")),
+                                serversElement.number("most-lost"),
+                                "file".equals(serversElement.get("first")),
+                                serversElement.get("keys") == null ? null : Path.of(serversElement.get("keys"))));
     }
 
-    private static HallSettings halls(String file, Element e) {
-        Map<String, List<List<String>>> preference = new TreeMap<>();
-        for (Element p : e.childrenNamed("preference")) {
+    private static HallSettings halls(String file, Element halls) {
+        Map<String, List<List<String>>> tiersByHomeHall = new TreeMap<>();
+        for (Element preference : halls.childrenNamed("preference")) {
             List<List<String>> tiers = new ArrayList<>();
-            Set<String> seen = new HashSet<>();
-            for (Element t : p.childrenNamed("tier")) {
+            Set<String> hallNames = new HashSet<>();
+            for (Element tierElement : preference.childrenNamed("tier")) {
                 List<String> tier = new ArrayList<>();
-                for (Element h : t.childrenNamed("hall")) {
-                    if (!seen.add(h.get("name"))) {
-                        throw h.error(file, h.get("name") + " is in two tiers of " + p.get("of"));
+                for (Element hall : tierElement.childrenNamed("hall")) {
+                    if (!hallNames.add(hall.get("name"))) {
+                        throw hall.error(file, hall.get("name") + " is in two tiers of " + preference.get("of"));
                     }
-                    tier.add(h.get("name"));
+                    tier.add(hall.get("name"));
                 }
                 tiers.add(tier);
             }
-            if (preference.put(p.get("of"), tiers) != null) {
-                throw p.error(file, p.get("of") + " has two preferences");
+            if (tiersByHomeHall.put(preference.get("of"), tiers) != null) {
+                throw preference.error(file, preference.get("of") + " has two preferences");
             }
         }
-        if (e.micros("hold-most") < e.micros("hold-off")) {
-            throw e.error(file, "hold-most must not be under hold-off");
+        if (halls.micros("hold-most") < halls.micros("hold-off")) {
+            throw halls.error(file, "hold-most must not be under hold-off");
         }
         return new HallSettings(
-                preference,
-                "strict".equals(e.get("tiers")),
-                e.number("spill"),
-                e.number("doubt-share"),
-                e.micros("dark-after"),
-                e.micros("trial-every"),
-                e.micros("settle"),
-                e.micros("hold-off"),
-                e.micros("hold-most"),
-                e.micros("flap-window"),
-                e.number("retry-share"),
-                e.number("retry-burst"));
+                tiersByHomeHall,
+                "strict".equals(halls.get("tiers")),
+                halls.number("spill"),
+                halls.number("doubt-share"),
+                halls.micros("dark-after"),
+                halls.micros("trial-every"),
+                halls.micros("settle"),
+                halls.micros("hold-off"),
+                halls.micros("hold-most"),
+                halls.micros("flap-window"),
+                halls.number("retry-share"),
+                halls.number("retry-burst"));
     }
 
     /** One line for a person. */
     public String summary() {
         return (halls == null
                         ? "halls off"
-                        : "halls on, spill " + halls.spill() + ", tiers " + (halls.strict() ? "strict" : "priced")
-                                + ", preferences of " + halls.preference().keySet())
+                        : "halls on, spill " + halls.spillShare() + ", tiers " + (halls.strict() ? "strict" : "priced")
+                                + ", preferences of " + halls.tiersByHomeHall().keySet())
                 + (servers == null ? "" : "; servers from " + servers.file());
     }
 }
--- a/src/main/java/barrowshore/operator/SchedulerConfig.java
+++ b/src/main/java/barrowshore/operator/SchedulerConfig.java
@@ -15,9 +15,9 @@
         return config.settings().halls;
     }
 
-    private static HallRules hallRules(Config config, OperatorSettings operator) {
-        return operator.halls() == null
+    private static HallRules hallRules(Config config, OperatorSettings operatorSettings) {
+        return operatorSettings.halls() == null
                 ? null
-                : operator.halls().rulesFor(config.names().zones(), config.settings().zone);
+                : operatorSettings.halls().rulesFor(config.names().zones(), config.settings().zone);
     }
 }
--- a/src/main/java/barrowshore/ops/OpsServer.java
+++ b/src/main/java/barrowshore/ops/OpsServer.java
@@ -34,17 +34,17 @@
     /** Descriptors that it may hold, its own included. */
     public static final int MAX_DESCRIPTORS = 48;
 
-    private static final int THREADS = 2;
+    private static final int THREAD_COUNT = 2;
     /** Open calls; above it the oldest that is not being answered goes. */
-    private static final int MOST = 32;
+    private static final int MAX_OPEN_CONNECTIONS = 32;
 
-    private static final int MAX_HEADERS = 4096;
-    private static final int MAX_BODY = 4096;
+    private static final int MAX_HEADER_BYTES = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
     /** Milliseconds in which a call must be whole, in which its answer must be read, in which the caller closes. */
-    private static final long WHOLE = 2_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
 
-    private static final long UNREAD = 2_000;
-    private static final long LINGER = 500;
+    private static final long ANSWER_TIMEOUT_MILLIS = 2_000;
+    private static final long LINGER_MILLIS = 500;
 
     /** What the calls ask of the scheduler; run on the door's threads, so it must only read or set published values. */
     public interface SchedulerControl {
@@ -58,101 +58,102 @@
         boolean activate();
     }
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
+    private final ExecutorService pool = Executors.newFixedThreadPool(THREAD_COUNT);
     private final Mailbox mailbox = new Mailbox("the operators' door", pool);
     private final Scheduler timers;
-    private final SchedulerControl desk;
-    private final ConnectionManager dialer;
-    private final ServerSocketChannel server;
-    private final Set<Call> calls = new LinkedHashSet<>();
+    private final SchedulerControl control;
+    private final ConnectionManager connectionManager;
+    private final ServerSocketChannel listener;
+    private final Set<OpsConnection> connections = new LinkedHashSet<>();
 
     /** Opens the door at the listening socket, which is its own from now on. */
-    public OpsServer(ServerSocketChannel server, Scheduler timers, SchedulerControl desk) throws Exception {
-        this.server = server;
+    public OpsServer(ServerSocketChannel listener, Scheduler timers, SchedulerControl control) throws Exception {
+        this.listener = listener;
         this.timers = timers;
-        this.desk = desk;
-        this.dialer = new ConnectionManager(pool, timers, 0, MOST + 8, UNREAD, Call::new);
-        dialer.start();
-        dialer.listen(server);
+        this.control = control;
+        this.connectionManager = new ConnectionManager(
+                pool, timers, 0, MAX_OPEN_CONNECTIONS + 8, ANSWER_TIMEOUT_MILLIS, OpsConnection::new);
+        connectionManager.start();
+        connectionManager.listen(listener);
     }
 
     /** Where it listens. */
     public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) server.getLocalAddress();
+        return (InetSocketAddress) listener.getLocalAddress();
     }
 
     public void stop() throws IOException {
-        server.close();
-        LifeCycle.stop(dialer);
+        listener.close();
+        LifeCycle.stop(connectionManager);
         pool.shutdownNow();
     }
 
     /** What is answered to a call. */
-    record Answer(int status, String text, String allow) {
-        Answer(int status, String text) {
-            this(status, text, null);
+    record Answer(int status, String body, String allowedMethod) {
+        Answer(int status, String body) {
+            this(status, body, null);
         }
     }
 
-    static Answer answer(String method, String target, SchedulerControl desk) {
+    static Answer handle(String method, String target, SchedulerControl control) {
         String path = target.split("\\?", 2)[0];
-        String wanted =
+        String expectedMethod =
                 switch (path) {
                     case "/v1/readyz", "/v1/metrics" -> "GET";
                     case "/v1/scheduler/drain", "/v1/scheduler/activate" -> "POST";
                     default -> null;
                 };
-        if (wanted == null) {
+        if (expectedMethod == null) {
             return new Answer(404, "no such call\n");
         }
-        if (!wanted.equals(method)) {
-            return new Answer(405, "this call is a " + wanted + "\n", wanted);
+        if (!expectedMethod.equals(method)) {
+            return new Answer(405, "this call is a " + expectedMethod + "\n", expectedMethod);
         }
         return switch (path) {
-            case "/v1/readyz" -> desk.isReady() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
-            case "/v1/metrics" -> new Answer(200, desk.metrics().metricLines());
-            case "/v1/scheduler/drain" -> verb(desk.drain(), "clients are sent away\n");
-            default -> verb(desk.activate(), "back to work\n");
+            case "/v1/readyz" -> control.isReady() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
+            case "/v1/metrics" -> new Answer(200, control.metrics().metricLines());
+            case "/v1/scheduler/drain" -> stateChangeAnswer(control.drain(), "clients are sent away\n");
+            default -> stateChangeAnswer(control.activate(), "back to work\n");
         };
     }
 
-    private static Answer verb(boolean done, String text) {
-        return done ? new Answer(200, text) : new Answer(409, "the scheduler is ending\n");
+    private static Answer stateChangeAnswer(boolean accepted, String text) {
+        return accepted ? new Answer(200, text) : new Answer(409, "the scheduler is ending\n");
     }
 
-    private void opened(Call call) {
+    private void addConnection(OpsConnection connection) {
         mailbox.post(() -> {
-            calls.add(call);
-            Iterator<Call> oldest = calls.iterator();
-            if (calls.size() > MOST) {
-                Call first = oldest.next();
+            connections.add(connection);
+            Iterator<OpsConnection> oldest = connections.iterator();
+            if (connections.size() > MAX_OPEN_CONNECTIONS) {
+                OpsConnection evicted = oldest.next();
                 oldest.remove();
-                first.drop();
+                evicted.closeUnlessAnswered();
             }
         });
     }
 
     /** One caller's connection; it is read from at once and answered once. */
-    private final class Call extends HttpLink
+    private final class OpsConnection extends HttpLink
             implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
         private String method;
         private String target;
-        private int size;
+        private int bodyBytes;
         private boolean answered;
 
-        Call(EndPoint endPoint) {
+        OpsConnection(EndPoint endPoint) {
             super(endPoint, new Mailbox("a caller", pool), timers);
-            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADERS, HttpCompliance.RFC9110);
+            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADER_BYTES, HttpCompliance.RFC9110);
         }
 
         @Override
         protected void onConnected() {
-            setTimeLimit(WHOLE);
-            opened(this);
+            setTimeLimit(REQUEST_TIMEOUT_MILLIS);
+            addConnection(this);
             read();
         }
 
-        private void drop() {
+        private void closeUnlessAnswered() {
             mailbox.post(() -> {
                 if (!answered) {
                     closeNow();
@@ -173,9 +174,9 @@
 
         @Override
         public boolean content(ByteBuffer piece) {
-            size += piece.remaining();
+            bodyBytes += piece.remaining();
             piece.position(piece.limit());
-            if (size > MAX_BODY) {
+            if (bodyBytes > MAX_BODY_BYTES) {
                 respond(new Answer(413, "a call has no body to speak of\n"));
                 return true;
             }
@@ -184,7 +185,7 @@
 
         @Override
         public boolean messageComplete() {
-            respond(answer(method, target, desk));
+            respond(handle(method, target, control));
             return true;
         }
 
@@ -198,23 +199,23 @@
                 return;
             }
             answered = true;
-            setTimeLimit(UNREAD);
-            HttpFields.Mutable fields = HttpFields.build()
+            setTimeLimit(ANSWER_TIMEOUT_MILLIS);
+            HttpFields.Mutable headers = HttpFields.build()
                     .add(HttpHeader.CONTENT_TYPE, "text/plain")
                     .add(HttpHeader.CONNECTION, "close");
-            if (answer.allow() != null) {
-                fields.add(HttpHeader.ALLOW, answer.allow());
+            if (answer.allowedMethod() != null) {
+                headers.add(HttpHeader.ALLOW, answer.allowedMethod());
             }
-            byte[] text = answer.text().getBytes(StandardCharsets.UTF_8);
+            byte[] body = answer.body().getBytes(StandardCharsets.UTF_8);
             write(
-                    new MetaData.Response(answer.status(), null, HttpVersion.HTTP_1_1, fields, text.length),
-                    text,
-                    () -> mailbox.post(() -> closeGracefully(LINGER)));
+                    new MetaData.Response(answer.status(), null, HttpVersion.HTTP_1_1, headers, body.length),
+                    body,
+                    () -> mailbox.post(() -> closeGracefully(LINGER_MILLIS)));
         }
 
         @Override
         protected void onEnd(Throwable cause) {
-            OpsServer.this.mailbox.post(() -> calls.remove(this));
+            OpsServer.this.mailbox.post(() -> connections.remove(this));
         }
     }
 }
--- a/src/test/java/barrowshore/client/UnreadInvitationTest.java
+++ b/src/test/java/barrowshore/client/UnreadContinueTest.java
@@ -22,16 +22,16 @@
 
 /** A client that leaves even the 100 unread that it asked for: its end point takes a few bytes at a time. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class UnreadInvitationTest {
-    private static final int TAKEN = 10;
+class UnreadContinueTest {
+    private static final int OUTPUT_BUFFER_BYTES = 10;
 
     /** Takes requests in and leaves them open. */
-    private static final class Desk implements JobRequest.RequestHandler {
-        final List<JobRequest.Client> open = new ArrayList<>();
+    private static final class RecordingRequestHandler implements JobRequest.RequestHandler {
+        final List<JobRequest.Client> clients = new ArrayList<>();
 
         @Override
         public void submit(JobRequest request, JobRequest.Client client) {
-            open.add(client);
+            clients.add(client);
         }
 
         @Override
@@ -45,33 +45,33 @@
     }
 
     @Test
-    void theAnswerComesAfterIt() throws Exception {
+    void answerFollowsTheUnreadContinue() throws Exception {
         Scheduler timers = new ScheduledExecutorScheduler("timers", true, 1);
         timers.start();
         try {
             Config config = Config.parse(Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                     .replace("$D", "127.0.0.1:9")
                     .replace("$S", "127.0.0.1:9"));
-            Desk desk = new Desk();
-            ClientConnections side = new ClientConnections(
-                    config, Clock.system(), Runnable::run, timers, desk, () -> ServiceState.SERVING, 10);
-            ByteArrayEndPoint client = new ByteArrayEndPoint(timers, 0, new byte[0], TAKEN);
-            Connection link = side.accept(client);
-            client.setConnection(link);
-            link.onOpen();
-            client.addInput(
+            RecordingRequestHandler requestHandler = new RecordingRequestHandler();
+            ClientConnections connections = new ClientConnections(
+                    config, Clock.system(), Runnable::run, timers, requestHandler, () -> ServiceState.SERVING, 10);
+            ByteArrayEndPoint endPoint = new ByteArrayEndPoint(timers, 0, new byte[0], OUTPUT_BUFFER_BYTES);
+            Connection connection = connections.accept(endPoint);
+            endPoint.setConnection(connection);
+            connection.onOpen();
+            endPoint.addInput(
                     "POST /menu HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Priority-Class: menu\r\nX-Tenant-Id: acme\r\n"
                             + "X-Timeout-Ms: 4000\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-            client.addInput("x");
-            while (desk.open.isEmpty()) {
+            endPoint.addInput("x");
+            while (requestHandler.clients.isEmpty()) {
                 Thread.onSpinWait();
             }
-            desk.open.get(0).answer(new JobRequest.Served("one".getBytes(StandardCharsets.UTF_8)));
-            String read = "";
-            while (!read.endsWith("one")) {
-                read += client.takeOutputString();
+            requestHandler.clients.get(0).answer(new JobRequest.Served("one".getBytes(StandardCharsets.UTF_8)));
+            String output = "";
+            while (!output.endsWith("one")) {
+                output += endPoint.takeOutputString();
             }
-            assertThat(read).startsWith("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n");
+            assertThat(output).startsWith("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n");
         } finally {
             LifeCycle.stop(timers);
         }
--- a/src/test/java/barrowshore/operator/ConfigFilesTest.java
+++ b/src/test/java/barrowshore/operator/ConfigFilesTest.java
@@ -15,7 +15,7 @@
     private Path folder;
 
     @Test
-    void onlyAnotherTextIsAChangeAndReadingItEndsThat() throws IOException {
+    void reportsAChangeOnlyForDifferentReadableTextUntilItIsRead() throws IOException {
         Path file = folder.resolve("config.json");
         String text = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("\\$[DS]", "127.0.0.1:9");
--- a/src/test/java/barrowshore/operator/OperatorSettingsTest.java
+++ b/src/test/java/barrowshore/operator/OperatorSettingsTest.java
@@ -18,32 +18,34 @@
 class OperatorSettingsTest {
     private static final List<String> ZONES = List.of("hala-a", "hala-b");
 
-    private static String good() throws IOException {
+    private static String exampleFile() throws IOException {
         return Files.readString(Path.of("deploy/operator.xml"));
     }
 
     @Test
-    void theExampleIsGoodAndSaysWhatTheDefaultsSay() throws IOException {
-        HallRules rules = OperatorSettings.parse("f", good()).halls().rulesFor(ZONES, 1);
+    void exampleFileMatchesTheDefaults() throws IOException {
+        HallRules rules = OperatorSettings.parse("f", exampleFile()).halls().rulesFor(ZONES, 1);
         assertThat(rules)
                 .isEqualTo(HallRules.defaults(ZONES, 1))
                 .isEqualTo(OperatorSettings.HallSettings.defaults().rulesFor(ZONES, 1));
     }
 
     @Test
-    void whatIsLeftOutIsOff() {
+    void missingElementsAreOff() {
         assertThat(OperatorSettings.parse("f", "<operator xmlns=\"urn:barrowshore:operator:1\"/>"))
                 .isEqualTo(OperatorSettings.NONE);
     }
 
     @Test
-    void hallsThatAPreferenceLeavesOutComeLast() throws IOException {
-        String three = good().replace(
+    void hallsMissingFromAPreferenceFormTheLastTier() throws IOException {
+        String threeHalls = exampleFile()
+                .replace(
                         "<tier><hall name=\"hala-b\"/></tier>\n    </preference>\n    <preference",
                         "<tier><hall name=\"hala-c\"/></tier>\n    </preference>\n    <preference");
-        HallRules rules = OperatorSettings.parse("f", three).halls().rulesFor(List.of("hala-a", "hala-b", "hala-c"), 0);
+        HallRules rules =
+                OperatorSettings.parse("f", threeHalls).halls().rulesFor(List.of("hala-a", "hala-b", "hala-c"), 0);
         assertThat(rules.tiersByHall()).containsExactly(0, 2, 1);
-        assertThatThrownBy(() -> OperatorSettings.parse("f", three).halls().rulesFor(ZONES, 0))
+        assertThatThrownBy(() -> OperatorSettings.parse("f", threeHalls).halls().rulesFor(ZONES, 0))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("hala-c");
     }
@@ -63,10 +65,11 @@
             </halls>              | </walls>                       | line 13
             <?xml version="1.0"   | <!DOCTYPE operator [<!ENTITY a "b">]><?xml version="1.0" | line 1
             """)
-    void namesWhatIsWrong(String part, String instead, String message) throws IOException {
-        String bad = good().replaceFirst(
-                        java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead));
-        assertThat(bad).isNotEqualTo(good());
+    void reportsLineColumnAndElementOfAnError(String original, String replacement, String message) throws IOException {
+        String bad = exampleFile()
+                .replaceFirst(
+                        java.util.regex.Pattern.quote(original), java.util.regex.Matcher.quoteReplacement(replacement));
+        assertThat(bad).isNotEqualTo(exampleFile());
         assertThatThrownBy(() -> OperatorSettings.parse("f", bad))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageStartingWith("f: " + message)
@@ -75,15 +78,15 @@
     }
 
     @Test
-    void readsNoEntityAndNoHugeFile(@TempDir Path dir) throws IOException {
+    void rejectsEntitiesAndOversizedFiles(@TempDir Path dir) throws IOException {
         Path secret = Files.writeString(dir.resolve("secret"), "hala-z");
-        String xxe = "<!DOCTYPE operator [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n"
-                + good().replaceFirst("<\\?xml[^>]*>", "").replace("of=\"hala-b\"", "of=\"&x;\"");
-        assertThatThrownBy(() -> OperatorSettings.parse("f", xxe))
+        String externalEntity = "<!DOCTYPE operator [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n"
+                + exampleFile().replaceFirst("<\\?xml[^>]*>", "").replace("of=\"hala-b\"", "of=\"&x;\"");
+        assertThatThrownBy(() -> OperatorSettings.parse("f", externalEntity))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("DOCTYPE");
         Path huge = Files.writeString(
-                dir.resolve("huge"), good().replace("</operator>", " ".repeat(1 << 20) + "</operator>"));
+                dir.resolve("huge"), exampleFile().replace("</operator>", " ".repeat(1 << 20) + "</operator>"));
         assertThatThrownBy(() -> OperatorSettings.read(huge)).hasMessageContaining("is over 1048576 bytes");
         assertThatThrownBy(() -> OperatorSettings.read(dir.resolve("none"))).hasMessageContaining("cannot be read");
     }
--- a/src/test/java/barrowshore/ops/OpsServerTest.java
+++ b/src/test/java/barrowshore/ops/OpsServerTest.java
@@ -21,7 +21,7 @@
 /** The door by itself, on a loopback socket, with a desk that always says no. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class OpsServerTest {
-    private static final OpsServer.SchedulerControl DESK = new OpsServer.SchedulerControl() {
+    private static final OpsServer.SchedulerControl REFUSING_CONTROL = new OpsServer.SchedulerControl() {
         @Override
         public boolean isReady() {
             return false;
@@ -45,47 +45,48 @@
     };
 
     /** Time stands still: what is given up here is not given up for its time. */
-    private static final class NoTime extends AbstractLifeCycle implements Scheduler {
+    private static final class StoppedTimers extends AbstractLifeCycle implements Scheduler {
         @Override
         public Task schedule(Runnable run, long delay, TimeUnit unit) {
             return () -> true;
         }
     }
 
-    private final Scheduler timers = new NoTime();
-    private final List<Socket> callers = new ArrayList<>();
-    private OpsServer door;
+    private final Scheduler timers = new StoppedTimers();
+    private final List<Socket> sockets = new ArrayList<>();
+    private OpsServer server;
 
     @BeforeEach
-    void open() throws Exception {
-        door = new OpsServer(
+    void startServer() throws Exception {
+        server = new OpsServer(
                 ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)),
                 timers,
-                DESK);
+                REFUSING_CONTROL);
     }
 
     @AfterEach
-    void close() throws Exception {
-        for (Socket caller : callers) {
-            caller.close();
+    void stopServer() throws Exception {
+        for (Socket socket : sockets) {
+            socket.close();
         }
-        door.stop();
+        server.stop();
     }
 
-    private Socket call(String bytes) throws Exception {
-        Socket caller = new Socket(door.address().getAddress(), door.address().getPort());
-        callers.add(caller);
-        caller.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-        return caller;
+    private Socket send(String bytes) throws Exception {
+        Socket socket =
+                new Socket(server.address().getAddress(), server.address().getPort());
+        sockets.add(socket);
+        socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+        return socket;
     }
 
-    private static String answer(Socket caller) throws Exception {
-        return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private static String readAnswer(Socket socket) throws Exception {
+        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    void figuresStandOneALineUnderTheirNames() throws Exception {
-        assertThat(answer(call("GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n")))
+    void metricsAreListedOnePerLine() throws Exception {
+        assertThat(readAnswer(send("GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n")))
                 .endsWith("\r\n\r\n"
                         + "svc.passed.soup=812\nsvc.dropped.soup=3\nsvc.bad_gateway.soup=1\nsvc.upstream_tries=820\n"
                         + "svc.in_progress=14\nsvc.known_workers=5\nsvc.skipped_workers=2\n"
@@ -93,28 +94,30 @@
     }
 
     @Test
-    void whatTheDeskDeniesIsNoYes() throws Exception {
-        assertThat(answer(call("GET /v1/readyz HTTP/1.0\r\n\r\n"))).startsWith("HTTP/1.1 503 ");
-        assertThat(answer(call("POST /v1/scheduler/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}")))
+    void refusalsAreAnswered503And409() throws Exception {
+        assertThat(readAnswer(send("GET /v1/readyz HTTP/1.0\r\n\r\n"))).startsWith("HTTP/1.1 503 ");
+        assertThat(readAnswer(send("POST /v1/scheduler/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}")))
                 .startsWith("HTTP/1.1 409 ");
-        assertThat(answer(call("POST /v1/scheduler/activate HTTP/1.1\r\nHost: x\r\n"
+        assertThat(readAnswer(send("POST /v1/scheduler/activate HTTP/1.1\r\nHost: x\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")))
                 .startsWith("HTTP/1.1 409 ");
     }
 
     /** Two hundred that finish nothing, more than it has descriptors for, and the next is answered without time passing. */
     @Test
-    void callersThatFinishNothingKeepNobodyOut() throws Exception {
-        for (int k = 0; k < 200; k++) {
-            call(k % 2 == 0 ? "" : "GET /v1/metr");
+    void incompleteCallsDoNotBlockOthers() throws Exception {
+        for (int i = 0; i < 200; i++) {
+            send(i % 2 == 0 ? "" : "GET /v1/metr");
         }
-        assertThat(answer(call("GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n"))).startsWith("HTTP/1.1 503 ");
+        assertThat(readAnswer(send("GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n")))
+                .startsWith("HTTP/1.1 503 ");
     }
 
     @Test
-    void whatIsTooLongIsRefused() throws Exception {
-        assertThat(answer(call("GET /" + "x".repeat(5000) + " HTTP/1.1\r\n"))).startsWith("HTTP/1.1 414 ");
-        assertThat(answer(call("POST /v1/scheduler/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9000\r\n\r\n"
+    void oversizedCallsAreRejected() throws Exception {
+        assertThat(readAnswer(send("GET /" + "x".repeat(5000) + " HTTP/1.1\r\n")))
+                .startsWith("HTTP/1.1 414 ");
+        assertThat(readAnswer(send("POST /v1/scheduler/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9000\r\n\r\n"
                         + "x".repeat(5000))))
                 .startsWith("HTTP/1.1 413 ");
     }
