--- a/src/main/java/barrowshore/cli/Main.java
+++ b/src/main/java/barrowshore/cli/Main.java
@@ -43,9 +43,9 @@
 import org.kohsuke.args4j.spi.SubCommands;
 
 /**
- * The command line. It owns the process's exit code and what a person reads on standard error when a command cannot
- * start: 2 for a wrong command line or configuration, 1 for a failure later on. It must never decide anything about
- * requests, and never write to standard output while {@code drill} runs, whose replies go there.
+ * The command line. It owns the process's exit code (2 for a wrong command line or configuration, 1 for a later
+ * failure) and the error messages on standard error. It must never decide anything about requests, and never write to
+ * standard output while {@code drill} runs, whose replies go there.
  */
 public final class Main {
     private static final String LOG_FORMAT_PROPERTY = "java.util.logging.SimpleFormatter.format";
@@ -55,30 +55,33 @@
         void run() throws Exception;
     }
 
-    /** What a sub-command is for, on one line. */
+    /** A sub-command's purpose in one line, for the help texts. */
     @Retention(RetentionPolicy.RUNTIME)
     @interface Description {
         String value();
     }
 
-    /** Serves requests on real sockets. */
-    @Description("Serves requests on real sockets until SIGTERM.")
+    /** The command {@code serve}, the scheduler itself. */
+    @Description("Runs the scheduler on real sockets until SIGTERM.")
     public static final class ServeCommand implements Command {
-        @Option(name = "--config", metaVar = "FILE", usage = "configuration (default: $GW_CONFIG)")
+        @Option(name = "--config", metaVar = "FILE", usage = "configuration file (default: $GW_CONFIG)")
         Path configFile;
 
-        @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
+        @Option(
+                name = "--operator",
+                metaVar = "FILE",
+                usage = "operators' settings file (default: none, all of it off)")
         Path operatorFile;
 
-        @Option(name = "--with", metaVar = "PID", usage = "ends at once when that process has ended")
+        @Option(name = "--with", metaVar = "PID", usage = "exits at once when that process ends")
         long watchedPid;
 
         @Override
         public void run() throws Exception {
             if (watchedPid > 0) {
-                // Whoever started it for a while may be killed: nobody else would end it then.
+                // A test or tool that started this process may be killed; nothing else would end the process then.
                 ProcessHandle.of(watchedPid)
-                        .orElseThrow(() -> new ConfigException("--with: there is no process " + watchedPid))
+                        .orElseThrow(() -> new ConfigException("--with: no such process: " + watchedPid))
                         .onExit()
                         .thenRun(() -> Runtime.getRuntime().halt(1));
             }
@@ -86,10 +89,10 @@
         }
     }
 
-    /** Serves a job to itself and ends, so that the JVM can archive what a start loads; see deploy/archive.sh. */
-    @Description("Serves one job to itself and ends, so that the JVM can archive what a start loads.")
+    /** The command {@code rehearse}, which records classes for the JVM's class data archive; see deploy/archive.sh. */
+    @Description("Serves one job to itself and exits, so that the JVM can archive the classes that a start loads.")
     public static final class RehearseCommand implements Command {
-        @Option(name = "--config", metaVar = "FILE", usage = "configuration (default: $GW_CONFIG)")
+        @Option(name = "--config", metaVar = "FILE", usage = "configuration file (default: $GW_CONFIG)")
         Path configFile;
 
         @Override
@@ -98,13 +101,16 @@
         }
     }
 
-    /** Reads the configuration, or the operators' settings, or both, and says what is wrong with them. */
-    @Description("Reads the configuration, the operators' settings, or both, and says what is wrong with them.")
+    /** The command {@code check}, which reads the files as {@code serve} does but starts nothing. */
+    @Description("Validates the configuration, the operators' settings, or both, and reports errors.")
     public static final class CheckCommand implements Command {
-        @Option(name = "--config", metaVar = "FILE", usage = "configuration (default: $GW_CONFIG)")
+        @Option(name = "--config", metaVar = "FILE", usage = "configuration file (default: $GW_CONFIG)")
         Path configFile;
 
-        @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
+        @Option(
+                name = "--operator",
+                metaVar = "FILE",
+                usage = "operators' settings file (default: none, all of it off)")
         Path operatorFile;
 
         @Override
@@ -127,10 +133,13 @@
         }
     }
 
-    /** Hosts decision modules on the simulator's wire. */
-    @Description("Hosts decision modules on the simulator's wire: standard input and output.")
+    /** The command {@code drill}, which hosts dispatch modules for the simulator. */
+    @Description("Runs dispatch modules for the simulator, on its protocol over standard input and output.")
     public static final class DrillCommand implements Command {
-        @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
+        @Option(
+                name = "--operator",
+                metaVar = "FILE",
+                usage = "operators' settings file (default: none, all of it off)")
         Path operatorFile;
 
         @Override
@@ -147,20 +156,19 @@
         }
     }
 
-    /** A fleet of real processes with faults between them. */
-    @Description(
-            "Starts a fleet of real schedulers before stand-in workers, with load and faults, and checks what must hold.")
+    /** The command {@code fleet}; exit code 1 if an invariant was violated. */
+    @Description("Runs real scheduler processes with stand-in workers under load and faults, and checks invariants.")
     public static final class FleetCommand implements Command {
-        @Argument(index = 0, required = true, metaVar = "SCENARIO", usage = "the fleet's XML file")
+        @Argument(index = 0, required = true, metaVar = "SCENARIO", usage = "the fleet scenario's XML file")
         Path scenarioFile;
 
-        @Option(name = "--folder", metaVar = "DIR", usage = "for logs, events and figures (default: a new one)")
+        @Option(name = "--folder", metaVar = "DIR", usage = "folder for logs, events and figures (default: a new one)")
         Path folder;
 
         @Option(
                 name = "--deploy",
                 metaVar = "FILE",
-                usage = "whose run line has the JVM's options (default: none are set)")
+                usage = "file whose run line has the JVM's options (default: none are set)")
         Path deployFile;
 
         @Override
@@ -176,10 +184,10 @@
         }
     }
 
-    /** A small site to watch. */
-    @Description("Starts two halls of stand-in nodes, two schedulers and a light load; loses a hall and regains it.")
+    /** The command {@code demo}: a small site on real sockets. */
+    @Description("Demo: two halls of stand-in servers, two schedulers and a light load; a hall fails and recovers.")
     public static final class DemoCommand implements Command {
-        @Option(name = "--hold", usage = "goes on after that, until it is stopped")
+        @Option(name = "--hold", usage = "keeps running afterwards, until it is stopped")
         boolean keepRunning;
 
         @Override
@@ -188,31 +196,31 @@
         }
     }
 
-    /** Looks at lists of servers kept in files. */
-    @Description("Looks at lists of servers: servers check|show|sign FILE, servers diff FILE FILE.")
+    /** The command {@code servers}: actions on files with lists of servers. */
+    @Description("Works on files with lists of servers: servers check|show|sign FILE, servers diff FILE FILE.")
     public static final class ServersCommand implements Command {
-        @Argument(index = 0, required = true, metaVar = "check | show | diff | sign", usage = "what to do")
+        @Argument(index = 0, required = true, metaVar = "check | show | diff | sign", usage = "the action")
         String action;
 
-        @Argument(index = 1, required = true, metaVar = "FILE", usage = "the list; for diff the one in use")
+        @Argument(index = 1, required = true, metaVar = "FILE", usage = "the list; for diff the current one")
         Path file;
 
-        @Argument(index = 2, metaVar = "FILE", usage = "for diff: the one that would follow")
+        @Argument(index = 2, metaVar = "FILE", usage = "for diff: the list that is to replace it")
         Path nextFile;
 
         @Option(
                 name = "--most-lost",
                 metaVar = "SHARE",
-                usage = "the share of capacity that may go at once (default 0.5)")
+                usage = "for diff: the share of capacity that may be removed at once (default 0.5)")
         double maxLostShare = 0.5;
 
         @Option(
                 name = "--keys",
                 metaVar = "DIR",
-                usage = "the directory of keys, ID.key each: check verifies, sign signs")
+                usage = "the directory of keys, ID.key each, with which check verifies and sign signs")
         Path keyDirectory;
 
-        @Option(name = "--key", metaVar = "ID", usage = "for sign: a key's id; may be given twice")
+        @Option(name = "--key", metaVar = "ID", usage = "for sign: a key's id; may be given more than once")
         List<String> keyIds = new ArrayList<>();
 
         @Override
@@ -242,13 +250,14 @@
                     System.out.println(decision.outcome().name().toLowerCase(Locale.ROOT)
                             + (decision.reason().isEmpty() ? "" : ": " + decision.reason()));
                 }
-                default -> throw new ConfigException("servers: " + action + " is none of check, show, diff, sign");
+                default -> throw new ConfigException(
+                        "servers: unknown action " + action + "; expected check, show, diff or sign");
             }
         }
     }
 
-    /** Plays a scenario in virtual time. */
-    @Description("Plays a scenario in virtual time: real decisions against models of order nodes.")
+    /** The command {@code emulate}: one scenario, or many random deployments. */
+    @Description("Simulates a scenario in virtual time: real dispatch modules with models of the servers.")
     public static final class EmulateCommand implements Command {
         @Argument(index = 0, metaVar = "SCENARIO", usage = "the scenario's XML file")
         Path scenarioFile;
@@ -257,33 +266,42 @@
                 name = "--deployments",
                 metaVar = "COUNT",
                 forbids = {"--operator", "--json", "--compare", "--seeds"},
-                usage = "in place of a scenario: so many deployments drawn by seeds, a day on each; "
-                        + "where it loses, worst first")
+                usage = "instead of a scenario: number of deployments drawn by seeds, a day simulated on each; "
+                        + "lists where the dispatch module loses, worst first")
         int deploymentCount;
 
-        @Option(name = "--rivals", depends = "--deployments", usage = "and the same days by textbook policies")
+        @Option(
+                name = "--rivals",
+                depends = "--deployments",
+                usage = "also simulates the same days with textbook policies")
         boolean includeRivals;
 
         @Option(
                 name = "--csv",
                 metaVar = "FILE",
                 depends = "--deployments",
-                usage = "writes every deployment's figures")
+                usage = "writes every deployment's figures as CSV")
         Path csvFile;
 
         @Option(name = "--seed", metaVar = "N", usage = "the first seed (default 1)")
         long firstSeed = 1;
 
-        @Option(name = "--seeds", metaVar = "COUNT", usage = "so many seeds, and a table over all of them (default 1)")
+        @Option(
+                name = "--seeds",
+                metaVar = "COUNT",
+                usage = "number of seeds; prints a table over all of them (default 1)")
         int seedCount = 1;
 
-        @Option(name = "--operator", metaVar = "FILE", usage = "the operators' settings (default: none, all of it off)")
+        @Option(
+                name = "--operator",
+                metaVar = "FILE",
+                usage = "operators' settings file (default: none, all of it off)")
         Path operatorFile;
 
-        @Option(name = "--json", metaVar = "FILE", usage = "writes the reports for programs")
+        @Option(name = "--json", metaVar = "FILE", usage = "writes the reports as JSON")
         Path jsonFile;
 
-        @Option(name = "--compare", usage = "each seed twice, with and without the operators' settings")
+        @Option(name = "--compare", usage = "simulates each seed with and without the operators' settings")
         boolean compare;
 
         @Override
@@ -306,83 +324,104 @@
         }
     }
 
-    /** Measures what a scheduler spends on control, against the fleet's size. */
-    @Description(
-            "Plays fleets of real decision modules in virtual time and prints what control costs each scheduler by size.")
+    /** The command {@code capacity}; exit code 1 if a limit was exceeded. */
+    @Description("Simulates fleets of real dispatch modules in virtual time; prints control costs by fleet size.")
     public static final class CapacityCommand implements Command {
         private static final FleetSize TARGET = FleetSize.target();
         private static final int DEFAULT_MEASURED_SECONDS = 20, DEFAULT_PLAYS_PER_SIZE = 3;
 
-        @Option(name = "--workers", metaVar = "COUNT", handler = SizeOption.class, usage = "default: the target's 770")
+        @Option(
+                name = "--workers",
+                metaVar = "COUNT",
+                handler = SizeOption.class,
+                usage = "number of workers (default: the target's 770)")
         double workers = TARGET.workers();
 
-        @Option(name = "--schedulers", metaVar = "COUNT", handler = SizeOption.class, usage = "default: 10")
+        @Option(
+                name = "--schedulers",
+                metaVar = "COUNT",
+                handler = SizeOption.class,
+                usage = "number of schedulers (default: 10)")
         double schedulers = TARGET.schedulers();
 
         @Option(
                 name = "--starts",
                 metaVar = "RATE",
                 handler = SizeOption.class,
-                usage = "task starts a second, all schedulers (default: the target's 260)")
+                usage = "task starts per second over all schedulers (default: the target's 260)")
         double startsPerSecond = TARGET.startsPerSecond();
 
-        @Option(name = "--tenants", metaVar = "COUNT", handler = SizeOption.class, usage = "default: the target's 43")
+        @Option(
+                name = "--tenants",
+                metaVar = "COUNT",
+                handler = SizeOption.class,
+                usage = "number of tenants (default: the target's 43)")
         double tenants = TARGET.tenants();
 
         @Option(
                 name = "--list-changes",
                 metaVar = "RATE",
                 handler = SizeOption.class,
-                usage = "machines replaced a second (default: the target's)")
+                usage = "servers replaced per second (default: the target's)")
         double listChangesPerSecond = TARGET.listChangesPerSecond();
 
         @Option(
                 name = "--config-changes",
                 metaVar = "RATE",
                 handler = SizeOption.class,
-                usage = "changes of configuration a second (default: the target's)")
+                usage = "configuration changes per second (default: the target's)")
         double configChangesPerSecond = TARGET.settingsChangesPerSecond();
 
         @Option(
                 name = "--seconds",
                 metaVar = "COUNT",
                 handler = SizeOption.class,
-                usage = "virtual seconds that are measured (default 20)")
+                usage = "measured virtual seconds (default 20)")
         double measuredSeconds = DEFAULT_MEASURED_SECONDS;
 
-        @Option(name = "--seed", metaVar = "N", handler = SizeOption.class, usage = "of all chance (default 1)")
+        @Option(
+                name = "--seed",
+                metaVar = "N",
+                handler = SizeOption.class,
+                usage = "seed of all random choices (default 1)")
         double seed = 1;
 
         @Option(
                 name = "--plays",
                 metaVar = "COUNT",
                 handler = SizeOption.class,
-                usage = "plays of each size, for the spread of the times (default 3)")
+                usage = "simulations of each size, for the spread of the times (default 3)")
         double playsPerSize = DEFAULT_PLAYS_PER_SIZE;
 
-        @Option(name = "--loss", metaVar = "SHARE", handler = SizeOption.class, usage = "of datagrams lost (default 0)")
+        @Option(
+                name = "--loss",
+                metaVar = "SHARE",
+                handler = SizeOption.class,
+                usage = "share of datagrams lost (default 0)")
         double lostShare;
 
         @Option(
                 name = "--doubled",
                 metaVar = "SHARE",
                 handler = SizeOption.class,
-                usage = "of datagrams that come twice (default 0)")
+                usage = "share of datagrams delivered twice (default 0)")
         double duplicatedShare;
 
-        @Option(name = "--reports", usage = "workers report their load in answers")
+        @Option(name = "--reports", usage = "workers report their load in their answers")
         boolean workersReportLoad;
 
-        @Option(name = "--no-guesses", usage = "tasks come without a guess at their work")
+        @Option(name = "--no-guesses", usage = "tasks carry no estimate of their work")
         boolean withoutWorkHints;
 
-        @Option(name = "--counts", usage = "counts alone, one play: no times, the same on every machine")
+        @Option(
+                name = "--counts",
+                usage = "counts only, from one simulation: no times, so the output is the same on every machine")
         boolean countsOnly;
 
-        @Option(name = "--sweep", metaVar = "NAME", usage = "sweeps, with commas between, all (default), or none")
+        @Option(name = "--sweep", metaVar = "NAME", usage = "sweeps, separated by commas, or all (default), or none")
         String sweepNames = "all";
 
-        @Option(name = "--csv", metaVar = "FILE", usage = "writes every figure")
+        @Option(name = "--csv", metaVar = "FILE", usage = "writes every figure as CSV")
         Path csvFile;
 
         @Override
@@ -409,7 +448,7 @@
         }
     }
 
-    /** Prints the version. */
+    /** The command {@code version}. */
     @Description("Prints the version.")
     public static final class VersionCommand implements Command {
         @Override
@@ -419,7 +458,12 @@
         }
     }
 
-    @Argument(index = 0, required = true, metaVar = "COMMAND", usage = "what to do", handler = SubCommandHandler.class)
+    @Argument(
+            index = 0,
+            required = true,
+            metaVar = "COMMAND",
+            usage = "the command to run",
+            handler = SubCommandHandler.class)
     @SubCommands({
         @SubCommand(name = "serve", impl = ServeCommand.class),
         @SubCommand(name = "check", impl = CheckCommand.class),
@@ -438,20 +482,20 @@
     private static ConfigFiles configFiles(Path configFile, Path operatorFile) {
         String path = configFile != null ? configFile.toString() : System.getenv("GW_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new ConfigException("GW_CONFIG is not set and no --config is given");
+            throw new ConfigException("no configuration: GW_CONFIG is not set and --config is not given");
         }
         return new ConfigFiles(Path.of(path), System.getenv("GW_OPS"), operatorFile);
     }
 
     public static void main(String[] args) throws Exception {
-        // One line a message: what is read beside a pager must not need two.
+        // One line per message, for quick reading during an incident; the JDK's default format takes two.
         if (System.getProperty(LOG_FORMAT_PROPERTY) == null) {
             System.setProperty(LOG_FORMAT_PROPERTY, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
         }
         System.exit(run(args));
     }
 
-    /** What a command is for, and its options: of the one that the words begin with, or of all. */
+    /** Prints the purpose and options of the command that {@code args} begins with, or the list of all commands. */
     private static int printHelp(List<String> args) throws ReflectiveOperationException {
         SubCommand[] subCommands = Main.class
                 .getDeclaredField("command")
@@ -466,10 +510,11 @@
             }
         }
         if (!args.isEmpty() && !args.get(0).startsWith("-")) {
-            System.err.println("barrowshore: " + args.get(0) + " is no command; barrowshore --help lists them");
+            System.err.println(
+                    "barrowshore: unknown command " + args.get(0) + "; barrowshore --help lists the commands");
             return 2;
         }
-        System.out.println("usage: barrowshore COMMAND [options]; barrowshore COMMAND --help says more");
+        System.out.println("usage: barrowshore COMMAND [options]; barrowshore COMMAND --help shows its options");
         for (SubCommand subCommand : subCommands) {
             System.out.printf(
                     "  %-10s %s%n",
@@ -480,7 +525,7 @@
     }
 
     private static int reportMissingCommand() {
-        System.err.println("barrowshore: a command is missing; barrowshore --help lists them");
+        System.err.println("barrowshore: no command is given; barrowshore --help lists the commands");
         return 2;
     }
 
@@ -512,7 +557,7 @@
         }
     }
 
-    /** What was asked for was done, and what it found has been said: it is not well. */
+    /** The command ran and printed its findings, and a check failed: the exit code is 1. */
     private static final class CheckFailedException extends Exception {
         private static final long serialVersionUID = 1;
     }
--- a/src/main/java/barrowshore/client/ClientConnections.java
+++ b/src/main/java/barrowshore/client/ClientConnections.java
@@ -37,50 +37,48 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The clients' HTTP side: turns HTTP requests into job requests and final answers into responses. An actor that owns the set
- * of client connections and their limit; each connection is an actor of its own and owns at most one open job request. It
- * must never let a request that is not well formed reach the module, and never answer a request twice.
+ * The HTTP server for clients: turns HTTP requests into job requests and final answers into responses. An actor that
+ * owns the client connections and their limit; each connection is an actor of its own with at most one open job request.
+ * A malformed request must never reach the dispatch module, and no request may be answered twice.
  */
 public final class ClientConnections {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_HEADER_BYTES = 16 * 1024;
-    /** Microseconds before the client's deadline at which a request is answered come what may: the answer's way back. */
+    /** A request is answered this long before the client's deadline, to leave time for the answer's way back. */
     private static final long ANSWER_MARGIN_MICROS = 25_000;
-    /** How long a connection may stand idle that has had a job's answer. */
+    /** For connections on which a job has been answered. */
     private static final long IDLE_TIMEOUT_MILLIS = 120_000;
     /**
-     * How long a request may take from the connection's first moment, or from its first byte on a connection that has
-     * had a job's answer, until it is whole. The usual client sends it in one piece.
+     * Time for a request to arrive completely, counted from the connection's start, or from the request's first byte
+     * once a job has been answered on the connection. Clients usually send a request in one piece.
      */
     private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
-    /** How long one that comes when there is no room may take to say what for. */
+    /** Time for a request's head on a connection above the limit; then the connection is rejected without it. */
     private static final long OVERLOAD_REQUEST_TIMEOUT_MILLIS = 200;
-    /** How long a client may leave an answer unread. */
-    private static final long ANSWER_TIMEOUT_MILLIS = 10_000;
-    /** What a client is told to wait, in microseconds, that is shed before the module sees it. */
+    /** Time for a client to take an answer. */
+    private static final long ANSWER_READ_TIMEOUT_MILLIS = 10_000;
+    /** Retry-After of requests that are rejected before the dispatch module sees them. */
     private static final long OVERLOAD_RETRY_AFTER_MICROS = 1_000_000;
-    /** How long a client may take to read the last answer and close. */
+    /** Time for a client to read the last answer and close. */
     private static final long LINGER_MILLIS = 1_000;
-    /** Milliseconds after SIGTERM from which a request must be answered before the end, since nothing of it outlives us. */
+    /** Requests that begin this long or longer after SIGTERM must be answered before the process is killed. */
     private static final long SHUTDOWN_GRACE_MILLIS = 600;
-    /** Slots and hints above this are no job's. */
-    private static final double MAX_JOB_SLOTS = 64;
 
+    private static final double MAX_JOB_SLOTS = 64;
     private static final double MAX_WORK_HINT_MICROS = 1e9;
-    /** The longest time that a client may wait, in milliseconds. */
     private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
 
     private static final Pattern REQUEST_ID_PATTERN = Pattern.compile("[0-9A-Za-z._-]{1,64}");
-    private static final Pattern INTEGER_PATTERN = Pattern.compile("[0-9]{1,9}");
-    private static final Pattern DECIMAL_PATTERN = Pattern.compile("[0-9]{1,10}(\\.[0-9]{1,9})?");
-    /** What goes on to the server as it is: nothing that another reader might take for the end of a line. */
-    private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[!-~]([ -~]*[!-~])?");
+    private static final Pattern INTEGER = Pattern.compile("[0-9]{1,9}");
+    private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,10}(\\.[0-9]{1,9})?");
+    /** The key is forwarded unchanged, so it must not hold anything that a server could read as the end of a line. */
+    private static final Pattern KEY_PATTERN = Pattern.compile("[!-~]([ -~]*[!-~])?");
 
     private static final Pattern TARGET_PATTERN = Pattern.compile("/[A-Za-z0-9._~:/?\\[\\]@!$&'()*+,;=%-]{0,4095}");
-    /** What decides of a request; said twice, it says nothing. */
+    /** Headers that decide how a request is handled; a repeated one is ambiguous and rejected. */
     private static final List<String> SINGLE_VALUE_HEADERS =
             List.of("X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "X-Attrs", "Idempotency-Key");
-    /** Bytes of request bodies held at once, over all connections: a quarter of the heap. */
+    /** Limit on the request bodies in memory over all connections: a quarter of the heap. */
     private static final int MAX_BUFFERED_BODY_BYTES = 14 << 20;
 
     private static final byte[] NO_BYTES = new byte[0];
@@ -90,26 +88,25 @@
     private final Scheduler timers;
     private final JobRequest.RequestHandler requestHandler;
     private final Semaphore bodyBytePermits = new Semaphore(MAX_BUFFERED_BODY_BYTES);
-    /** What jobs may be; replaced whole. */
+    /** Replaced as a whole when the configuration changes. */
     private volatile JobRules jobRules;
 
     private int maxConnections;
     private final Mailbox mailbox;
     private final Set<ClientConnection> connections = new HashSet<>();
     /**
-     * Those to close when there are too many: ended but for the peer, oldest first; without a job yet, the longest there
-     * first, whatever it asked for meanwhile; idle, oldest first.
+     * The eviction groups, in the order in which they are closed above the limit, oldest first in each: {@code closing}
+     * sends or has sent its last answer; {@code unanswered} has had no job's answer and is sorted by the connections'
+     * age, so that readiness checks don't renew a place; {@code idle} has had one. None has an open job.
      */
     private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
-    private final Set<ClientConnection> unanswered =
-            new TreeSet<>(Comparator.comparingLong(connection -> connection.sequenceNumber));
+    private final Set<ClientConnection> unanswered = new TreeSet<>(Comparator.comparingLong(c -> c.sequenceNumber));
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
     private final Supplier<ServiceState> serviceState;
-    private long deadlineCapFromMicros = Long.MAX_VALUE;
-    private long deadlineCapMicros = Long.MAX_VALUE;
+    private long capFromMicros = Long.MAX_VALUE; // requests that begin later have a deadline of at most capMicros
+    private long capMicros = Long.MAX_VALUE;
     private Runnable whenEmpty;
-    /** Connections so far. */
     private long acceptedCount;
 
     public ClientConnections(
@@ -127,20 +124,17 @@
         this.serviceState = serviceState;
         this.jobRules = JobRules.of(config);
         this.maxConnections = maxConnections;
-        this.mailbox = new Mailbox("the client side", pool);
+        this.mailbox = new Mailbox("the client connections", pool);
     }
 
-    /** Jobs that come from now on are judged by this configuration; those whose head has come keep their class. */
+    /** Applies the configuration to requests whose head has not been parsed yet; the others keep their class. */
     public void updateSettings(Config config) {
         jobRules = JobRules.of(config);
     }
 
-    /** Classes by number and those that are taken, tenants by number, what the classes are. */
+    /** The part of the configuration that requests are checked against; classes and tenants by number. */
     private record JobRules(
-            List<String> classes,
-            Set<String> acceptedClasses,
-            List<String> tenants,
-            DispatchApi.JobClass[] classTypes) {
+            List<String> classes, Set<String> accepted, List<String> tenants, DispatchApi.JobClass[] types) {
         static JobRules of(Config config) {
             return new JobRules(
                     config.classes(), config.acceptedClasses(), config.tenants(), config.settings().classes);
@@ -151,25 +145,25 @@
         return new ClientConnection(endPoint);
     }
 
-    /** The process may be killed so many milliseconds from now: requests that still come are answered before. */
+    /** Prepares for a kill after that time: requests that still arrive must be answered before it. */
     public void scheduleEnd(long millisToKill) {
         long now = clock.micros();
         mailbox.post(() -> {
-            deadlineCapFromMicros = now + SHUTDOWN_GRACE_MILLIS * 1000;
-            deadlineCapMicros = now + millisToKill * 1000;
-            connections.forEach(connection -> connection.capDeadlines(deadlineCapFromMicros, deadlineCapMicros));
+            capFromMicros = now + SHUTDOWN_GRACE_MILLIS * 1000;
+            capMicros = now + millisToKill * 1000;
+            connections.forEach(connection -> connection.capDeadlines(capFromMicros, capMicros));
         });
     }
 
     /**
-     * Closes connections without a request on them: those that have had a job's answer, or all of them. One without is about
-     * to bring a request, or else its time runs out by itself.
+     * Closes connections without an open request: all, or only those on which a job has been answered. The others are
+     * about to send a request, or their time limit closes them.
      */
     public void closeIdle(boolean all) {
         mailbox.post(() -> connections.forEach(connection -> connection.closeIdleConnection(all)));
     }
 
-    /** So many connections are let be from now on; above it those go that nobody will miss. */
+    /** Sets the limit on connections and evicts those above it. */
     public void setMaxConnections(int limit) {
         mailbox.post(() -> {
             maxConnections = limit;
@@ -180,7 +174,6 @@
         });
     }
 
-    /** The message runs once no connection is left. */
     public void whenEmpty(Runnable action) {
         mailbox.post(() -> {
             whenEmpty = action;
@@ -192,7 +185,7 @@
         mailbox.post(() -> {
             connection.sequenceNumber = ++acceptedCount;
             connections.add(connection);
-            connection.capDeadlines(deadlineCapFromMicros, deadlineCapMicros);
+            connection.capDeadlines(capFromMicros, capMicros);
             if (connections.size() > maxConnections && !evictOldest()) {
                 connection.markOverLimit();
             }
@@ -202,8 +195,8 @@
     }
 
     /**
-     * Guards the limit on descriptors, for the usual clients: above it the connection goes that nobody will miss, the
-     * longest there first. One that has had a job's answer goes last, and one with a request on it never.
+     * Closes one connection, if any can be closed, so that the descriptors suffice for clients that send jobs: one on
+     * which a job has been answered is closed last, one with an open request never.
      */
     private boolean evictOldest() {
         for (Set<ClientConnection> group : List.of(closing, unanswered, idle)) {
@@ -218,7 +211,7 @@
         return false;
     }
 
-    /** Where the link stands now; null: a request is on it. */
+    /** Moves the connection to the eviction group; null: to none, since a request is open on it. */
     private void setEvictionGroup(ClientConnection connection, Set<ClientConnection> group) {
         mailbox.post(() -> {
             closing.remove(connection);
@@ -245,7 +238,7 @@
         }
     }
 
-    /** A request that is turned away with a plain status before it becomes a job request. */
+    /** An HTTP request that is answered with an error status before it becomes a job request. */
     private static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1;
         final int status;
@@ -256,46 +249,46 @@
         }
     }
 
-    /** One client's connection. */
+    /** One client's connection; an actor that owns its open request. */
     final class ClientConnection extends HttpLink
             implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection, JobRequest.Client {
         private String method;
         private String target;
         private HttpFields.Mutable headers;
         private ByteArrayOutputStream body;
-        /** The HTTP request's head as a job request, still without its body; null: it asks whether we are ready. */
+        /** The job request without its body; null: the request is a readiness check. */
         private JobRequest requestHead;
-
+        /** A request is being handled or the connection is closing; nothing more is parsed. */
         private boolean busy;
-        /** Whether a job has been answered here: a usual client's connection, as far as we can tell. */
+        /** A job has been answered here, which marks the connection as that of a client that sends jobs. */
         private boolean jobAnswered;
-        /** Whether a request is on its way in, its time running. */
+        /** A request has arrived in part; its time limit is running. */
         private boolean receivingRequest;
-        /** Whether an answer is being written; whether that was the last and the peer is let read it. */
-        private boolean writingAnswer;
 
+        private boolean writingAnswer;
+        /** Our side is closed; the client may still read the last answer. */
         private boolean lingering;
-        /** Whether a 100 is being written, and the answer that waits for it: a client may leave even that unread. */
+        /** An interim 100 response is being written; a client may leave even that unread. */
         private boolean writingContinue;
-
+        /** The answer that waits until the 100 has been written. */
         private Runnable answerAfterContinue;
-        /** Whether it came when there was no room. */
+        /** Accepted above the limit on connections: its request is to be rejected. */
         private boolean overLimit;
 
         private boolean closeAfterAnswer;
-        /** Its place among those that have come; the client side's. */
+        /** Numbers the connections as accepted; owned by the enclosing actor. */
         private long sequenceNumber;
 
-        private long deadlineCapFromMicros = Long.MAX_VALUE;
-        private long deadlineCapMicros = Long.MAX_VALUE;
+        private long capFromMicros = Long.MAX_VALUE;
+        private long capMicros = Long.MAX_VALUE;
         private long firstByteMicros;
         private int bufferedBytes;
         private JobRequest openRequest;
-        /** Whether the connection has ended; read by whoever is about to begin an attempt. */
+        /** The connection has ended; read from other threads before an attempt is started. */
         private volatile boolean gone;
 
         ClientConnection(EndPoint endPoint) {
-            super(endPoint, new Mailbox("a client", pool), timers);
+            super(endPoint, new Mailbox("a client connection", pool), timers);
             parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADER_BYTES, HttpCompliance.RFC9110);
         }
 
@@ -305,15 +298,15 @@
             addConnection(this);
         }
 
-        /** Read from only now, when it is known how its answers are to end. */
+        /** Starts reading, now that the deadline cap and the limit on connections have been applied. */
         private void startReading() {
             mailbox.post(this::read);
         }
 
-        private void capDeadlines(long fromMicros, long capMicros) {
+        private void capDeadlines(long fromMicros, long maxMicros) {
             mailbox.post(() -> {
-                deadlineCapFromMicros = fromMicros;
-                deadlineCapMicros = capMicros;
+                capFromMicros = fromMicros;
+                capMicros = maxMicros;
             });
         }
 
@@ -326,24 +319,24 @@
         }
 
         /**
-         * Ends the connection unless a request is on it, or has come and is only not yet read. evicted: there is no room,
-         * so half a request does not keep it, but it is told so.
+         * Closes the connection unless a request is open on it or waits unread in the socket. evicted: to make room, so
+         * a partial request is rejected instead of awaited.
          */
         private void closeIfIdle(boolean evicted) {
             mailbox.post(() -> {
                 if (!busy) {
-                    read(); // what is in the socket may be a whole request
+                    read(); // the socket may hold a complete request
                 }
                 if (isClosed()) {
                     return;
                 }
                 if (lingering) {
                     if (evicted) {
-                        closeNow(); // else its own limit ends it: the last answer may still be on its way
+                        closeNow(); // else its time limit closes it: the last answer may still be on its way
                     }
                 } else if (!busy && parser.isStart()) {
                     if (evicted && !jobAnswered) {
-                        closeNow(); // it has had nothing of us that could be lost, and room is needed now
+                        closeNow(); // no job's answer has been sent that could be lost
                     } else {
                         linger();
                     }
@@ -354,8 +347,8 @@
         }
 
         /**
-         * Ends our side first and reads to the peer's end: what crosses our end is thrown away, never served, and does not
-         * turn the end into a reset that could eat the answer before it.
+         * Closes our side and discards what the client sends until it closes too: a request that crosses the close is
+         * never served, and unread bytes do not cause a reset that could destroy the last answer.
          */
         private void linger() {
             lingering = true;
@@ -364,7 +357,7 @@
             closeGracefully(LINGER_MILLIS);
         }
 
-        /** No room: one rejection as soon as it is known for what, or soon after. */
+        /** Rejects the connection as soon as its request's head has arrived, or after a short time without one. */
         private void markOverLimit() {
             mailbox.post(() -> {
                 overLimit = true;
@@ -386,7 +379,7 @@
             return !busy;
         }
 
-        /** Guards the job of a client that sends much behind its request and goes: its going has to be noticed. */
+        /** Discards, so that the close of a client is noticed that sends much behind its request and then leaves. */
         @Override
         protected boolean discardsOverflow() {
             persistent = false;
@@ -399,12 +392,12 @@
             if (!busy && !isClosed() && !receivingRequest && !parser.isStart()) {
                 receivingRequest = true;
                 if (jobAnswered) {
-                    setTimeLimit(REQUEST_TIMEOUT_MILLIS); // else its time has run since the connection came up
+                    setTimeLimit(REQUEST_TIMEOUT_MILLIS); // else the limit has run since the connection came up
                 }
             }
         }
 
-        /** Nothing, or half a request, when its time is up; what has come by now is still looked at. */
+        /** Closes or rejects; bytes that have already arrived are read first. */
         @Override
         protected void onTimeLimit() {
             if (!busy) {
@@ -440,7 +433,7 @@
             headers.add(field);
         }
 
-        /** All that a head can be wrong in is said before its body comes, so that no body is waited for in vain. */
+        /** Rejects a bad head before its body arrives, so that no body is awaited that would not be used. */
         @Override
         public boolean headerComplete() {
             try {
@@ -478,7 +471,7 @@
                 return true;
             }
             if (!bodyBytePermits.tryAcquire(pieceBytes)) {
-                // Guards the limit on memory: many large bodies at once are shed before the heap is full.
+                // Rejected before many large bodies at once fill the heap.
                 rejectOverload();
                 return true;
             }
@@ -498,7 +491,7 @@
             return new BadRequest(413, "the body is over " + MAX_BODY_BYTES + " bytes");
         }
 
-        /** An error ends the connection: whoever sent that has no claim to be read on, nor do we know where. */
+        /** Answers with an error and closes: after a bad request it is unknown where the next one begins. */
         private void reject(int status, String reason) {
             persistent = false;
             busy = true;
@@ -515,7 +508,7 @@
             setTimeLimit(0);
             setEvictionGroup(this, null);
             if (requestHead == null) {
-                // Looked at as the answer is given: once clients are sent away there is no yes any more.
+                // The service state is read last: it may have been drained since the question was asked.
                 requestHandler.askReady(listed -> mailbox.post(() -> {
                     boolean ready = listed && serviceState.get().acceptsClients();
                     respondText(ready ? 200 : 503, ready ? "ready" : "not ready");
@@ -527,9 +520,9 @@
             return true;
         }
 
-        /** Whether it is a POST with a body to a path served here, and no header of a job's is there twice. */
+        /** Requires a POST with a body to a known path, and no repeated header that decides about the job. */
         private void checkRequestForm(JobRules rules, String jobClass) throws BadRequest {
-            if (!rules.acceptedClasses().contains(jobClass)) {
+            if (!rules.accepted().contains(jobClass)) {
                 throw new BadRequest(404, "no such path");
             }
             if (!method.equals("POST")) {
@@ -545,7 +538,6 @@
             }
         }
 
-        /** Reads the HTTP request's head as a job request. */
         private JobRequest parseHead() throws BadRequest {
             if (!TARGET_PATTERN.matcher(target).matches()) {
                 throw new BadRequest(400, "the target cannot be read");
@@ -554,22 +546,20 @@
             JobRules rules = ClientConnections.this.jobRules;
             List<String> tenants = rules.tenants();
             checkRequestForm(rules, className);
-            String requestId = requiredHeader("X-Request-ID");
+            String requestId = required("X-Request-ID");
             if (!REQUEST_ID_PATTERN.matcher(requestId).matches()) {
                 throw new BadRequest(400, "X-Request-ID is not a word of at most 64 letters and digits");
             }
-            if (!requiredHeader("X-Priority-Class").equals(className)) {
+            if (!required("X-Priority-Class").equals(className)) {
                 throw new BadRequest(400, "X-Priority-Class is not the path's class");
             }
-            int tenant = tenants.isEmpty()
-                    ? -1
-                    : tenants.indexOf(SettingsReader.normalizeName(requiredHeader("X-Tenant-Id")));
+            int tenant =
+                    tenants.isEmpty() ? -1 : tenants.indexOf(SettingsReader.normalizeName(required("X-Tenant-Id")));
             if (tenant < 0 && !tenants.isEmpty()) {
                 throw new BadRequest(400, "X-Tenant-Id is not known");
             }
-            long timeoutMicros = 1000
-                    * (long) parsePositive(
-                            "X-Timeout-Ms", requiredHeader("X-Timeout-Ms"), INTEGER_PATTERN, MAX_TIMEOUT_MILLIS);
+            long timeoutMicros =
+                    1000 * (long) parsePositive("X-Timeout-Ms", required("X-Timeout-Ms"), INTEGER, MAX_TIMEOUT_MILLIS);
             double slots = 1;
             double workHintMicros = parseWorkHint();
             String attrs = headers.get("X-Attrs");
@@ -580,21 +570,19 @@
                 }
                 String value = pair.substring(separator + 1).strip();
                 switch (pair.substring(0, separator).strip()) {
-                    case "slots" -> slots = parsePositive("X-Attrs slots", value, DECIMAL_PATTERN, MAX_JOB_SLOTS);
-                    case "hint" -> workHintMicros =
-                            parsePositive("X-Attrs hint", value, DECIMAL_PATTERN, MAX_WORK_HINT_MICROS);
+                    case "slots" -> slots = parsePositive("X-Attrs slots", value, DECIMAL, MAX_JOB_SLOTS);
+                    case "hint" -> workHintMicros = parsePositive("X-Attrs hint", value, DECIMAL, MAX_WORK_HINT_MICROS);
                     default -> {}
                 }
             }
             long deadlineMicros = firstByteMicros + timeoutMicros - Math.min(ANSWER_MARGIN_MICROS, timeoutMicros / 4);
             int jobClass = rules.classes().indexOf(className);
-            DispatchApi.RepeatSafety repeatSafety = rules.classTypes()[jobClass].safety();
-            // A keyed job's repeats could not be told without.
-            String idempotencyKey = repeatSafety == DispatchApi.RepeatSafety.KEYED
-                    ? requiredHeader("Idempotency-Key")
+            DispatchApi.RepeatSafety repeatSafety = rules.types()[jobClass].safety();
+            // Without the key, servers could not recognize repeats of a keyed job.
+            String key = repeatSafety == DispatchApi.RepeatSafety.KEYED
+                    ? required("Idempotency-Key")
                     : headers.get("Idempotency-Key");
-            if (idempotencyKey != null
-                    && !IDEMPOTENCY_KEY_PATTERN.matcher(idempotencyKey).matches()) {
+            if (key != null && !KEY_PATTERN.matcher(key).matches()) {
                 throw new BadRequest(400, "Idempotency-Key is not plain text");
             }
             return new JobRequest(
@@ -603,31 +591,29 @@
                     tenant,
                     slots,
                     workHintMicros,
-                    firstByteMicros >= deadlineCapFromMicros
-                            ? Math.min(deadlineMicros, deadlineCapMicros)
-                            : deadlineMicros,
+                    firstByteMicros >= capFromMicros ? Math.min(deadlineMicros, capMicros) : deadlineMicros,
                     switch (repeatSafety) {
                         case SAFE -> JobRequest.NO_REPEAT_LIMIT;
-                        case KEYED -> rules.classTypes()[jobClass].repeatWindowMicros();
+                        case KEYED -> rules.types()[jobClass].repeatWindowMicros();
                         case UNSAFE -> 0;
                     },
                     method,
                     target,
-                    idempotencyKey,
+                    key,
                     NO_BYTES);
         }
 
-        /** The client's guess at the work, in microseconds; one that cannot be read is none: the job is whole without. */
+        /** The client's estimate of the work, in microseconds; 0 if missing or unreadable, since it is optional. */
         private double parseWorkHint() {
             List<String> values = headers.getValuesList("X-Cost");
-            double value = values.size() == 1
-                            && DECIMAL_PATTERN.matcher(values.get(0).strip()).matches()
-                    ? Double.parseDouble(values.get(0).strip())
-                    : 0;
+            double value =
+                    values.size() == 1 && DECIMAL.matcher(values.get(0).strip()).matches()
+                            ? Double.parseDouble(values.get(0).strip())
+                            : 0;
             return value <= MAX_WORK_HINT_MICROS ? value : 0;
         }
 
-        private String requiredHeader(String name) throws BadRequest {
+        private String required(String name) throws BadRequest {
             String value = headers.get(name);
             if (value == null || value.isBlank()) {
                 throw new BadRequest(400, name + " is missing");
@@ -635,7 +621,7 @@
             return value;
         }
 
-        /** A number in plain digits; what else a parser of numbers would take is not a client's to send. */
+        /** Parses plain digits only; other forms that Java's parser takes, such as NaN or 1e9, are rejected. */
         private static double parsePositive(String name, String text, Pattern pattern, double max) throws BadRequest {
             if (pattern.matcher(text).matches()) {
                 double value = Double.parseDouble(text);
@@ -643,8 +629,7 @@
                     return value;
                 }
             }
-            throw new BadRequest(
-                    400, name + " is not a positive number" + (pattern == DECIMAL_PATTERN ? " in range" : ""));
+            throw new BadRequest(400, name + " is not a positive number" + (pattern == DECIMAL ? " in range" : ""));
         }
 
         @Override
@@ -674,13 +659,13 @@
                         HttpFields.build().add(HttpHeader.CONTENT_TYPE, "application/octet-stream"),
                         served.result());
             } else if (answer instanceof JobRequest.Rejection rejection) {
-                HttpFields.Mutable extraHeaders = HttpFields.build();
+                HttpFields.Mutable extra = HttpFields.build();
                 if (rejection.retryAfterMicros() > 0) {
-                    extraHeaders.add(
+                    extra.add(
                             HttpHeader.RETRY_AFTER,
                             String.format(Locale.ROOT, "%.3f", rejection.retryAfterMicros() / 1e6));
                 }
-                respond(503, extraHeaders, NO_BYTES);
+                respond(503, extra, NO_BYTES);
             } else if (answer instanceof JobRequest.Failed failed) {
                 respondText(failed.timedOut() ? 504 : 502, failed.timedOut() ? "no answer in time" : "the job failed");
             } else if (answer instanceof JobRequest.IdInUse idInUse) {
@@ -712,7 +697,7 @@
             }
             if (writingContinue) {
                 answerAfterContinue = () -> respond(status, extraHeaders, content);
-                setTimeLimit(ANSWER_TIMEOUT_MILLIS);
+                setTimeLimit(ANSWER_READ_TIMEOUT_MILLIS);
                 return;
             }
             closeAfterAnswer = !persistent || serviceState.get().closesAfterAnswer();
@@ -721,7 +706,7 @@
                 setEvictionGroup(this, closing);
             }
             writingAnswer = true;
-            setTimeLimit(ANSWER_TIMEOUT_MILLIS);
+            setTimeLimit(ANSWER_READ_TIMEOUT_MILLIS);
             write(
                     new MetaData.Response(status, null, HttpVersion.HTTP_1_1, extraHeaders, content.length),
                     content,
--- a/src/main/java/barrowshore/operator/ConfigFiles.java
+++ b/src/main/java/barrowshore/operator/ConfigFiles.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * The files that a {@link SchedulerConfig} is read from, and what the configuration said when it was read last. It owns
- * nothing else, and is used by one thread at a time.
+ * The files that a {@link SchedulerConfig} is read from, and the text of the configuration file when it was last read.
+ * Used by one thread at a time.
  */
 public final class ConfigFiles {
     private final Path configFile;
@@ -14,14 +14,14 @@
     private final Path operatorFile;
     private String lastConfigText = "";
 
-    /** ops: the operators' address in the environment; operator: the operators' settings; null: none. */
+    /** opsAddress: the ops server's address from the environment; operatorFile: the operators' settings; null: none. */
     public ConfigFiles(Path configFile, String opsAddress, Path operatorFile) {
         this.configFile = configFile;
         this.opsAddress = opsAddress;
         this.operatorFile = operatorFile;
     }
 
-    /** Reads all of it; a {@link ConfigException} tells what is wrong. */
+    /** Reads all files; throws a {@link ConfigException} if one of them is invalid. */
     public SchedulerConfig read() {
         lastConfigText = Config.readText(configFile);
         return new SchedulerConfig(
@@ -29,7 +29,7 @@
                 operatorFile == null ? OperatorSettings.NONE : OperatorSettings.read(operatorFile));
     }
 
-    /** Whether the configuration is another one by now; one that cannot be read is none. */
+    /** Whether the configuration file differs from what was last read; an unreadable file does not count as a change. */
     public boolean isConfigChanged() {
         try {
             return !Config.readText(configFile).equals(lastConfigText);
--- a/src/main/java/barrowshore/operator/OperatorSettings.java
+++ b/src/main/java/barrowshore/operator/OperatorSettings.java
@@ -14,31 +14,29 @@
 import java.util.TreeMap;
 
 /**
- * The operators' own settings, read from one XML file beside what the platform tells. It owns the reading of that file,
- * whole or not at all; each subsystem has one element in it, and what has none is off. It must never hold what the
- * platform decides.
+ * The operators' settings, read from one XML file of their own, completely or not at all. Each subsystem has one
+ * element and is off (null) without it. Settings that the platform decides do not belong here.
  */
 public record OperatorSettings(HallSettings halls, ServersFileSettings servers) {
-    /** The settings of halls alone. */
+    /** Hall settings without a servers file. */
     public OperatorSettings(HallSettings halls) {
         this(halls, null);
     }
 
     /**
-     * The element {@code servers}: a watched list of servers. mostLost: the share of capacity that a new version may
-     * take away unforced; filesFirst: whether the file wins where discovery names a server too; keys:
-     * the directory of the keys that it must be signed by, null: none.
+     * The element {@code servers}: a file with a list of servers that is watched for changes.
+     *
+     * @param maxLostShare the share of capacity that a new version may remove without being forced
+     * @param fileOverridesDiscovery whether the file's entry is used for servers that discovery names too
+     * @param keyDirectory the keys with which the file must be signed; null: no signature is required
      */
     public record ServersFileSettings(
             Path file, double maxLostShare, boolean fileOverridesDiscovery, Path keyDirectory) {}
 
-    /** What holds where there is no file. */
+    /** The settings without a file: everything is off. */
     public static final OperatorSettings NONE = new OperatorSettings(null, null);
 
-    /**
-     * The element {@code halls}; times in microseconds. preference: for the scheduler's own hall, the tiers of halls, the
-     * first choice first.
-     */
+    /** The element {@code halls}; {@code tiersByHomeHall} lists the tiers of halls, the preferred first, by home hall. */
     public record HallSettings(
             Map<String, List<List<String>>> tiersByHomeHall,
             boolean strict,
@@ -52,15 +50,15 @@
             long flapWindowMicros,
             double retryShare,
             double retryBurst) {
-        /** What an empty element says. */
+        /** The schema's defaults, as an empty element has them. */
         public static HallSettings defaults() {
             return OperatorSettings.parse("usual", "<operator xmlns=\"urn:barrowshore:operator:1\"><halls/></operator>")
                     .halls();
         }
 
         /**
-         * The rules for a scheduler of that zone (-1: none), among halls of these names. A hall that its preference leaves
-         * out is of one tier more; a preference for a hall that there is not is an error.
+         * The rules for a scheduler of that zone (-1: none); each zone is a hall. Halls missing from its preference form
+         * one more tier at the end; a preference that names an unknown hall is an error.
          */
         public HallRules rulesFor(List<String> zones, int zone) {
             for (Map.Entry<String, List<List<String>>> preference : tiersByHomeHall.entrySet()) {
@@ -103,12 +101,12 @@
         }
     }
 
-    /** Reads a file; a {@link ConfigException} names line, column and element. */
+    /** Reads the file; a {@link ConfigException} names the line, column and element of an error. */
     public static OperatorSettings read(Path file) {
         return fromXml(file.toString(), XmlFile.read(file, OperatorSettings.class, "operator.xsd"));
     }
 
-    /** Reads a text as the file of that name. */
+    /** Parses the text; {@code file} is the name for error messages. */
     public static OperatorSettings parse(String file, String text) {
         return fromXml(
                 file,
@@ -119,7 +117,7 @@
         Element hallsElement = root.firstChildNamed("halls");
         Element serversElement = root.firstChildNamed("servers");
         return new OperatorSettings(
-                hallsElement == null ? null : halls(file, hallsElement),
+                hallsElement == null ? null : parseHalls(file, hallsElement),
                 serversElement == null
                         ? null
                         : new ServersFileSettings(
@@ -129,7 +127,7 @@
                                 serversElement.get("keys") == null ? null : Path.of(serversElement.get("keys"))));
     }
 
-    private static HallSettings halls(String file, Element halls) {
+    private static HallSettings parseHalls(String file, Element halls) {
         Map<String, List<List<String>>> tiersByHomeHall = new TreeMap<>();
         for (Element preference : halls.childrenNamed("preference")) {
             List<List<String>> tiers = new ArrayList<>();
@@ -166,7 +164,7 @@
                 halls.number("retry-burst"));
     }
 
-    /** One line for a person. */
+    /** One line for people to read. */
     public String summary() {
         return (halls == null
                         ? "halls off"
--- a/src/main/java/barrowshore/operator/SchedulerConfig.java
+++ b/src/main/java/barrowshore/operator/SchedulerConfig.java
@@ -3,14 +3,14 @@
 import barrowshore.config.Config;
 import barrowshore.halls.HallRules;
 
-/** All that a scheduler is told: by the platform, and by its operators. It is read whole or not at all. */
+/** A scheduler's configuration from the platform, together with its operators' settings. */
 public record SchedulerConfig(Config config, OperatorSettings operatorSettings) {
-    /** Puts the two together; a {@link barrowshore.config.ConfigException} tells where they do not fit. */
+    /** Adds the hall rules to the settings; throws a {@link barrowshore.config.ConfigException} if the two conflict. */
     public SchedulerConfig {
         config.settings().halls = hallRules(config, operatorSettings);
     }
 
-    /** What the operators rule on halls, for this scheduler; null: nothing. */
+    /** The operators' hall rules for this scheduler; null if halls are off. */
     public HallRules hallRules() {
         return config.settings().halls;
     }
--- a/src/main/java/barrowshore/ops/OpsServer.java
+++ b/src/main/java/barrowshore/ops/OpsServer.java
@@ -26,58 +26,66 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The operators' door: one call a connection, answered from what others have published. It owns its listener, its
- * selector, two threads and the set of open calls with its bound, so that it answers however busy the rest is. It must
- * never wait for an actor of the scheduler, and never let a caller that finishes nothing keep the next one out.
+ * The operators' HTTP endpoint: one request per connection, answered from published values. It owns its listener, its
+ * selector, two threads and the bounded set of open connections, so that it answers however busy the scheduler is. It
+ * must never wait for an actor of the scheduler, and incomplete requests must never keep other callers out.
  */
 public final class OpsServer {
-    /** Descriptors that it may hold, its own included. */
+    /** Upper bound on the file descriptors of this server: connections, listener and selector. */
     public static final int MAX_DESCRIPTORS = 48;
 
     private static final int THREAD_COUNT = 2;
-    /** Open calls; above it the oldest that is not being answered goes. */
+    /** Above this, the oldest connection is closed unless it is being answered. */
     private static final int MAX_OPEN_CONNECTIONS = 32;
+    /** Connections that may be accepted while evicted ones have yet to release their descriptors. */
+    private static final int EVICTION_HEADROOM_CONNECTIONS = 8;
 
     private static final int MAX_HEADER_BYTES = 4096;
     private static final int MAX_BODY_BYTES = 4096;
-    /** Milliseconds in which a call must be whole, in which its answer must be read, in which the caller closes. */
+    /** Time for a request to arrive completely. */
     private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
-
+    /** Time for the caller to read the answer. */
     private static final long ANSWER_TIMEOUT_MILLIS = 2_000;
+    /** Time for the caller to close after the answer. */
     private static final long LINGER_MILLIS = 500;
 
-    /** What the calls ask of the scheduler; run on the door's threads, so it must only read or set published values. */
+    /** The scheduler as the endpoint sees it; called on the server's threads, so it must not block on an actor. */
     public interface SchedulerControl {
         boolean isReady();
 
         SchedulerMetrics metrics();
 
-        /** Sends clients away; false where that cannot be. */
+        /** Makes clients leave for other schedulers; false if the scheduler is ending. */
         boolean drain();
 
+        /** Ends a drain; false if the scheduler is ending. */
         boolean activate();
     }
 
     private final ExecutorService pool = Executors.newFixedThreadPool(THREAD_COUNT);
-    private final Mailbox mailbox = new Mailbox("the operators' door", pool);
+    private final Mailbox mailbox = new Mailbox("the ops server", pool);
     private final Scheduler timers;
     private final SchedulerControl control;
     private final ConnectionManager connectionManager;
     private final ServerSocketChannel listener;
     private final Set<OpsConnection> connections = new LinkedHashSet<>();
 
-    /** Opens the door at the listening socket, which is its own from now on. */
+    /** Starts serving on the listening socket and takes ownership of it. */
     public OpsServer(ServerSocketChannel listener, Scheduler timers, SchedulerControl control) throws Exception {
         this.listener = listener;
         this.timers = timers;
         this.control = control;
         this.connectionManager = new ConnectionManager(
-                pool, timers, 0, MAX_OPEN_CONNECTIONS + 8, ANSWER_TIMEOUT_MILLIS, OpsConnection::new);
+                pool,
+                timers,
+                0,
+                MAX_OPEN_CONNECTIONS + EVICTION_HEADROOM_CONNECTIONS,
+                ANSWER_TIMEOUT_MILLIS,
+                OpsConnection::new);
         connectionManager.start();
         connectionManager.listen(listener);
     }
 
-    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
@@ -88,7 +96,7 @@
         pool.shutdownNow();
     }
 
-    /** What is answered to a call. */
+    /** Status, body and, with status 405, the Allow header of a response. */
     record Answer(int status, String body, String allowedMethod) {
         Answer(int status, String body) {
             this(status, body, null);
@@ -133,7 +141,7 @@
         });
     }
 
-    /** One caller's connection; it is read from at once and answered once. */
+    /** One caller's connection, which carries one request and is closed after its answer. */
     private final class OpsConnection extends HttpLink
             implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
         private String method;
@@ -142,7 +150,7 @@
         private boolean answered;
 
         OpsConnection(EndPoint endPoint) {
-            super(endPoint, new Mailbox("a caller", pool), timers);
+            super(endPoint, new Mailbox("an ops connection", pool), timers);
             parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADER_BYTES, HttpCompliance.RFC9110);
         }
 
