--- a/src/test/java/barrowshore/cli/CapacityCommandTest.java
+++ b/src/test/java/barrowshore/cli/CapacityCommandTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command {@code capacity}: exit codes, what it prints, and its CSV. */
+/** The command {@code capacity}: exit codes, output and CSV. */
 class CapacityCommandTest {
     @TempDir
     Path folder;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** A fleet that plays in no time and is within every limit. */
+    /** A fleet small enough to be simulated quickly and to stay within every limit. */
     private static Outcome runSmallFleet(String... extraArgs) throws Exception {
         List<String> args = new ArrayList<>(List.of(
                 "--counts --workers 40 --schedulers 1 --starts 1 --tenants 2 --seconds 2 --sweep none".split(" ")));
@@ -60,7 +60,7 @@
 
     @Test
     void exitsWithOneWhenALimitIsExceeded() throws Exception {
-        // One slot has more to do than it can: what is urgent waits for its turn, whatever a scheduler decides.
+        // One overloaded slot: urgent tasks wait, whatever the scheduler decides.
         Outcome outcome = run(
                 "--counts --workers 1 --schedulers 1 --starts 0.1 --tenants 2 --seconds 600 --sweep none".split(" "));
         assertThat(outcome.exitCode).isEqualTo(1);
--- a/src/test/java/barrowshore/client/UnreadContinueTest.java
+++ b/src/test/java/barrowshore/client/UnreadContinueTest.java
@@ -20,12 +20,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client that leaves even the 100 unread that it asked for: its end point takes a few bytes at a time. */
+/**
+ * Guards against an answer that is written into an unfinished 100 response: the end point takes a few bytes at a time,
+ * so the job is answered while the 100 is still being written.
+ */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class UnreadContinueTest {
     private static final int OUTPUT_BUFFER_BYTES = 10;
 
-    /** Takes requests in and leaves them open. */
+    /** Records the clients of submitted requests and answers none. */
     private static final class RecordingRequestHandler implements JobRequest.RequestHandler {
         final List<JobRequest.Client> clients = new ArrayList<>();
 
--- a/src/test/java/barrowshore/operator/ConfigFilesTest.java
+++ b/src/test/java/barrowshore/operator/ConfigFilesTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Detection of a changed configuration file. */
 class ConfigFilesTest {
     @TempDir
     private Path folder;
--- a/src/test/java/barrowshore/operator/OperatorSettingsTest.java
+++ b/src/test/java/barrowshore/operator/OperatorSettingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' file: what it says, and that what is wrong in it is named by line, column and element. */
+/** Parsing of the operators' file, and that error messages name line, column and element. */
 class OperatorSettingsTest {
     private static final List<String> ZONES = List.of("hala-a", "hala-b");
 
--- a/src/test/java/barrowshore/ops/OpsServerTest.java
+++ b/src/test/java/barrowshore/ops/OpsServerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The door by itself, on a loopback socket, with a desk that always says no. */
+/** The ops server alone, on a loopback socket, with a scheduler that is not ready and refuses every order. */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class OpsServerTest {
     private static final OpsServer.SchedulerControl REFUSING_CONTROL = new OpsServer.SchedulerControl() {
@@ -44,7 +44,7 @@
         }
     };
 
-    /** Time stands still: what is given up here is not given up for its time. */
+    /** Timers that never fire, so that no connection is closed by a time limit. */
     private static final class StoppedTimers extends AbstractLifeCycle implements Scheduler {
         @Override
         public Task schedule(Runnable run, long delay, TimeUnit unit) {
@@ -103,7 +103,7 @@
                 .startsWith("HTTP/1.1 409 ");
     }
 
-    /** Two hundred that finish nothing, more than it has descriptors for, and the next is answered without time passing. */
+    /** 200 callers with incomplete requests, more than the server has descriptors, must not delay the next caller. */
     @Test
     void incompleteCallsDoNotBlockOthers() throws Exception {
         for (int i = 0; i < 200; i++) {
