--- a/src/main/java/barrowshore/ops/OpsServer.java
+++ b/src/main/java/barrowshore/ops/OpsServer.java
@@ -26,133 +26,142 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The operators' door: one call a connection, answered from what others have published. It owns its listener, its
- * selector, two threads and the set of open calls with its bound, so that it answers however busy the rest is. It must
- * never wait for an actor of the scheduler, and never let a caller that finishes nothing keep the next one out.
+ * The operators' HTTP endpoint: one request per connection, answered from published values. It owns its listener, its
+ * selector, two threads and the bounded set of open connections, so that it answers however busy the scheduler is. It
+ * must never wait for an actor of the scheduler, and incomplete requests must never keep other callers out.
  */
 public final class OpsServer {
-    /** Descriptors that it may hold, its own included. */
+    /** Upper bound on the file descriptors of this server: connections, listener and selector. */
     public static final int MAX_DESCRIPTORS = 48;
 
-    private static final int THREADS = 2;
-    /** Open calls; above it the oldest that is not being answered goes. */
-    private static final int MOST = 32;
-
-    private static final int MAX_HEADERS = 4096;
-    private static final int MAX_BODY = 4096;
-    /** Milliseconds in which a call must be whole, in which its answer must be read, in which the caller closes. */
-    private static final long WHOLE = 2_000;
-
-    private static final long UNREAD = 2_000;
-    private static final long LINGER = 500;
-
-    /** What the calls ask of the scheduler; run on the door's threads, so it must only read or set published values. */
+    private static final int THREAD_COUNT = 2;
+    /** Above this, the oldest connection is closed unless it is being answered. */
+    private static final int MAX_OPEN_CONNECTIONS = 32;
+    /** Connections that may be accepted while evicted ones have yet to release their descriptors. */
+    private static final int EVICTION_HEADROOM_CONNECTIONS = 8;
+
+    private static final int MAX_HEADER_BYTES = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
+    /** Time for a request to arrive completely. */
+    private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
+    /** Time for the caller to read the answer. */
+    private static final long ANSWER_TIMEOUT_MILLIS = 2_000;
+    /** Time for the caller to close after the answer. */
+    private static final long LINGER_MILLIS = 500;
+
+    /** The scheduler as the endpoint sees it; called on the server's threads, so it must not block on an actor. */
     public interface SchedulerControl {
         boolean isReady();
 
         SchedulerMetrics metrics();
 
-        /** Sends clients away; false where that cannot be. */
+        /** Makes clients leave for other schedulers; false if the scheduler is ending. */
         boolean drain();
 
+        /** Ends a drain; false if the scheduler is ending. */
         boolean activate();
     }
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(THREADS);
-    private final Mailbox mailbox = new Mailbox("the operators' door", pool);
+    private final ExecutorService pool = Executors.newFixedThreadPool(THREAD_COUNT);
+    private final Mailbox mailbox = new Mailbox("the ops server", pool);
     private final Scheduler timers;
-    private final SchedulerControl desk;
-    private final ConnectionManager dialer;
-    private final ServerSocketChannel server;
-    private final Set<Call> calls = new LinkedHashSet<>();
-
-    /** Opens the door at the listening socket, which is its own from now on. */
-    public OpsServer(ServerSocketChannel server, Scheduler timers, SchedulerControl desk) throws Exception {
-        this.server = server;
+    private final SchedulerControl control;
+    private final ConnectionManager connectionManager;
+    private final ServerSocketChannel listener;
+    private final Set<OpsConnection> connections = new LinkedHashSet<>();
+
+    /** Starts serving on the listening socket and takes ownership of it. */
+    public OpsServer(ServerSocketChannel listener, Scheduler timers, SchedulerControl control) throws Exception {
+        this.listener = listener;
         this.timers = timers;
-        this.desk = desk;
-        this.dialer = new ConnectionManager(pool, timers, 0, MOST + 8, UNREAD, Call::new);
-        dialer.start();
-        dialer.listen(server);
+        this.control = control;
+        this.connectionManager = new ConnectionManager(
+                pool,
+                timers,
+                0,
+                MAX_OPEN_CONNECTIONS + EVICTION_HEADROOM_CONNECTIONS,
+                ANSWER_TIMEOUT_MILLIS,
+                OpsConnection::new);
+        connectionManager.start();
+        connectionManager.listen(listener);
     }
 
-    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) server.getLocalAddress();
+        return (InetSocketAddress) listener.getLocalAddress();
     }
 
     public void stop() throws IOException {
-        server.close();
-        LifeCycle.stop(dialer);
+        listener.close();
+        LifeCycle.stop(connectionManager);
         pool.shutdownNow();
     }
 
-    /** What is answered to a call. */
-    record Answer(int status, String text, String allow) {
-        Answer(int status, String text) {
-            this(status, text, null);
+    /** Status, body and, with status 405, the Allow header of a response. */
+    record Answer(int status, String body, String allowedMethod) {
+        Answer(int status, String body) {
+            this(status, body, null);
         }
     }
 
-    static Answer answer(String method, String target, SchedulerControl desk) {
+    static Answer handle(String method, String target, SchedulerControl control) {
         String path = target.split("\\?", 2)[0];
-        String wanted =
+        String expectedMethod =
                 switch (path) {
                     case "/v1/readyz", "/v1/metrics" -> "GET";
                     case "/v1/scheduler/drain", "/v1/scheduler/activate" -> "POST";
                     default -> null;
                 };
-        if (wanted == null) {
+        if (expectedMethod == null) {
             return new Answer(404, "no such call\n");
         }
-        if (!wanted.equals(method)) {
-            return new Answer(405, "this call is a " + wanted + "\n", wanted);
+        if (!expectedMethod.equals(method)) {
+            return new Answer(405, "this call is a " + expectedMethod + "\n", expectedMethod);
         }
         return switch (path) {
-            case "/v1/readyz" -> desk.isReady() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
-            case "/v1/metrics" -> new Answer(200, desk.metrics().metricLines());
-            case "/v1/scheduler/drain" -> verb(desk.drain(), "clients are sent away\n");
-            default -> verb(desk.activate(), "back to work\n");
+            case "/v1/readyz" -> control.isReady() ? new Answer(200, "ready\n") : new Answer(503, "not ready\n");
+            case "/v1/metrics" -> new Answer(200, control.metrics().metricLines());
+            case "/v1/scheduler/drain" -> stateChangeAnswer(control.drain(), "clients are sent away\n");
+            default -> stateChangeAnswer(control.activate(), "back to work\n");
         };
     }
 
-    private static Answer verb(boolean done, String text) {
-        return done ? new Answer(200, text) : new Answer(409, "the scheduler is ending\n");
+    private static Answer stateChangeAnswer(boolean accepted, String text) {
+        return accepted ? new Answer(200, text) : new Answer(409, "the scheduler is ending\n");
     }
 
-    private void opened(Call call) {
+    private void addConnection(OpsConnection connection) {
         mailbox.post(() -> {
-            calls.add(call);
-            Iterator<Call> oldest = calls.iterator();
-            if (calls.size() > MOST) {
-                Call first = oldest.next();
+            connections.add(connection);
+            Iterator<OpsConnection> oldest = connections.iterator();
+            if (connections.size() > MAX_OPEN_CONNECTIONS) {
+                OpsConnection evicted = oldest.next();
                 oldest.remove();
-                first.drop();
+                evicted.closeUnlessAnswered();
             }
         });
     }
 
-    /** One caller's connection; it is read from at once and answered once. */
-    private final class Call extends HttpLink
+    /** One caller's connection, which carries one request and is closed after its answer. */
+    private final class OpsConnection extends HttpLink
             implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
         private String method;
         private String target;
-        private int size;
+        private int bodyBytes;
         private boolean answered;
 
-        Call(EndPoint endPoint) {
-            super(endPoint, new Mailbox("a caller", pool), timers);
-            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADERS, HttpCompliance.RFC9110);
+        OpsConnection(EndPoint endPoint) {
+            super(endPoint, new Mailbox("an ops connection", pool), timers);
+            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADER_BYTES, HttpCompliance.RFC9110);
         }
 
         @Override
         protected void onConnected() {
-            setTimeLimit(WHOLE);
-            opened(this);
+            setTimeLimit(REQUEST_TIMEOUT_MILLIS);
+            addConnection(this);
             read();
         }
 
-        private void drop() {
+        private void closeUnlessAnswered() {
             mailbox.post(() -> {
                 if (!answered) {
                     closeNow();
@@ -173,9 +182,9 @@
 
         @Override
         public boolean content(ByteBuffer piece) {
-            size += piece.remaining();
+            bodyBytes += piece.remaining();
             piece.position(piece.limit());
-            if (size > MAX_BODY) {
+            if (bodyBytes > MAX_BODY_BYTES) {
                 respond(new Answer(413, "a call has no body to speak of\n"));
                 return true;
             }
@@ -184,7 +193,7 @@
 
         @Override
         public boolean messageComplete() {
-            respond(answer(method, target, desk));
+            respond(handle(method, target, control));
             return true;
         }
 
@@ -198,23 +207,23 @@
                 return;
             }
             answered = true;
-            setTimeLimit(UNREAD);
-            HttpFields.Mutable fields = HttpFields.build()
+            setTimeLimit(ANSWER_TIMEOUT_MILLIS);
+            HttpFields.Mutable headers = HttpFields.build()
                     .add(HttpHeader.CONTENT_TYPE, "text/plain")
                     .add(HttpHeader.CONNECTION, "close");
-            if (answer.allow() != null) {
-                fields.add(HttpHeader.ALLOW, answer.allow());
+            if (answer.allowedMethod() != null) {
+                headers.add(HttpHeader.ALLOW, answer.allowedMethod());
             }
-            byte[] text = answer.text().getBytes(StandardCharsets.UTF_8);
+            byte[] body = answer.body().getBytes(StandardCharsets.UTF_8);
             write(
-                    new MetaData.Response(answer.status(), null, HttpVersion.HTTP_1_1, fields, text.length),
-                    text,
-                    () -> mailbox.post(() -> closeGracefully(LINGER)));
+                    new MetaData.Response(answer.status(), null, HttpVersion.HTTP_1_1, headers, body.length),
+                    body,
+                    () -> mailbox.post(() -> closeGracefully(LINGER_MILLIS)));
         }
 
         @Override
         protected void onEnd(Throwable cause) {
-            OpsServer.this.mailbox.post(() -> calls.remove(this));
+            OpsServer.this.mailbox.post(() -> connections.remove(this));
         }
     }
 }
--- a/src/test/java/barrowshore/operator/ConfigFilesTest.java
+++ b/src/test/java/barrowshore/operator/ConfigFilesTest.java
@@ -10,12 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Detection of a changed configuration file. */
 class ConfigFilesTest {
     @TempDir
     private Path folder;
 
     @Test
-    void onlyAnotherTextIsAChangeAndReadingItEndsThat() throws IOException {
+    void reportsAChangeOnlyForDifferentReadableTextUntilItIsRead() throws IOException {
         Path file = folder.resolve("config.json");
         String text = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("\\$[DS]", "127.0.0.1:9");
