--- a/src/main/java/barrowshore/config/Config.java
+++ b/src/main/java/barrowshore/config/Config.java
@@ -38,7 +38,7 @@
         ServerList.Update knownServers,
         PeerConfig peers,
         Set<String> acceptedClasses,
-        Map<String, Object> fixed,
+        Map<String, Object> startupOnly,
         Map<?, ?> raw) {
     /* grace: microseconds after which nothing new may go to a server that leaves. */
 
@@ -47,9 +47,9 @@
             InetSocketAddress listen, List<InetSocketAddress> peers, int ownNumber, InetSocketAddress broadcast) {}
 
     /** The fields that a running scheduler takes over, and those that matter only to a fresh one. */
-    private static final Set<String> LIVE = Set.of("discovery", "known", "seed", "settings");
+    private static final Set<String> RELOADABLE_FIELDS = Set.of("discovery", "known", "seed", "settings");
     /** The settings that it does not take over: what the rest is numbered and built by. */
-    private static final List<String> BUILT_ON = List.of(
+    private static final List<String> STARTUP_ONLY_SETTINGS = List.of(
             "groupSize",
             "me",
             "zone",
@@ -60,7 +60,7 @@
             "policyLimits.dialTimeout",
             "policyLimits.keepalive");
     /** Names of classes that one life of a process knows at most. */
-    private static final int MOST_CLASSES = 1000;
+    private static final int MAX_CLASS_NAMES = 1000;
 
     /**
      * The same, but for the operators' address that stands in the environment: it is this process's own, while the file may
@@ -73,7 +73,7 @@
                         name,
                         listen,
                         discovery,
-                        address(text, "GW_OPS"),
+                        parseAddress(text, "GW_OPS"),
                         sockets,
                         settings,
                         keepAlive,
@@ -84,7 +84,7 @@
                         knownServers,
                         peers,
                         acceptedClasses,
-                        fixed,
+                        startupOnly,
                         raw);
     }
 
@@ -93,7 +93,7 @@
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
             // It may be in the middle of being replaced: half of each is neither.
-            for (int k = 0; k < MOST_READS; k++) {
+            for (int k = 0; k < MAX_REREADS; k++) {
                 String again = Files.readString(file, StandardCharsets.UTF_8);
                 if (again.equals(text)) {
                     break;
@@ -111,79 +111,79 @@
      * This one, read later, for a process that goes by the former: classes keep their numbers, and what is built on at a
      * start stays. A {@link ConfigException} tells why it cannot take the former's place.
      */
-    public Config asReloadOf(Config former) {
-        Map<Object, Object> needed = new HashMap<>(former.raw);
-        needed.remove("known");
-        String lost = Shape.lost("", needed, raw);
-        if (lost != null) {
-            throw new ConfigException(lost);
+    public Config asReloadOf(Config running) {
+        Map<Object, Object> requiredKeys = new HashMap<>(running.raw);
+        requiredKeys.remove("known");
+        String mismatch = StructureCheck.firstMismatch("", requiredKeys, raw);
+        if (mismatch != null) {
+            throw new ConfigException(mismatch);
         }
-        List<String> numbered = new ArrayList<>(former.classes);
-        List<JobClass> types = new ArrayList<>(List.of(former.settings.classes));
+        List<String> classNames = new ArrayList<>(running.classes);
+        List<JobClass> jobClasses = new ArrayList<>(List.of(running.settings.classes));
         for (int k = 0; k < classes.size(); k++) {
-            int at = numbered.indexOf(classes.get(k));
-            if (settings.classes[k].kind() >= former.settings.kinds) {
+            int number = classNames.indexOf(classes.get(k));
+            if (settings.classes[k].kind() >= running.settings.kinds) {
                 throw new ConfigException("settings: domain.classKind." + k + " is no kind of machine since the start");
             }
-            if (at >= 0) {
-                types.set(at, settings.classes[k]);
+            if (number >= 0) {
+                jobClasses.set(number, settings.classes[k]);
             } else {
-                numbered.add(classes.get(k));
-                types.add(settings.classes[k]);
+                classNames.add(classes.get(k));
+                jobClasses.add(settings.classes[k]);
             }
         }
-        if (numbered.size() > MOST_CLASSES) {
-            throw new ConfigException("settings: lanes have had more than " + MOST_CLASSES + " names since the start");
+        if (classNames.size() > MAX_CLASS_NAMES) {
+            throw new ConfigException("settings: lanes have had more than " + MAX_CLASS_NAMES + " names since the start");
         }
         Settings merged = new Settings();
-        merged.copyReloadableFrom(former.settings);
-        merged.copyIdentityFrom(former.settings);
+        merged.copyReloadableFrom(running.settings);
+        merged.copyIdentityFrom(running.settings);
         merged.copyReloadableFrom(settings);
         merged.halls = settings.halls;
-        merged.classes = types.toArray(JobClass[]::new);
+        merged.classes = jobClasses.toArray(JobClass[]::new);
         return new Config(
-                former.name,
-                former.listen,
+                running.name,
+                running.listen,
                 discovery,
-                former.ops,
-                former.sockets,
+                running.ops,
+                running.sockets,
                 merged,
-                former.keepAlive,
+                running.keepAlive,
                 grace,
-                List.copyOf(numbered),
+                List.copyOf(classNames),
                 tenants,
-                former.names,
+                running.names,
                 knownServers,
-                former.peers,
+                running.peers,
                 Set.copyOf(classes),
-                former.fixed,
+                running.startupOnly,
                 raw);
     }
 
     /** How often a file is read again that changes meanwhile. */
-    private static final int MOST_READS = 5;
+    private static final int MAX_REREADS = 5;
 
     public static Config parse(String text) {
         Map<?, ?> root;
         try {
-            root = map(Json.parse(text), "configuration");
+            root = requireObject(Json.parse(text), "configuration");
         } catch (IllegalArgumentException e) {
             throw new ConfigException("configuration is " + e.getMessage());
         }
-        Map<?, ?> nested = map(root.get("settings"), "settings");
-        SettingsReader reader = SettingsReader.of(nested);
+        Map<?, ?> nestedSettings = requireObject(root.get("settings"), "settings");
+        SettingsReader reader = SettingsReader.of(nestedSettings);
         ServerList.ZoneKindNames names =
                 new ServerList.ZoneKindNames(reader.listItems("zones"), reader.listItems("kinds"));
         Settings settings;
         long keepAlive;
         long grace;
-        long seed = seed(readText(root, "seed"));
+        long seed = parseSeed(readText(root, "seed"));
         try {
-            over0(reader, "lanes.count", "lanes", 0);
+            requireAtLeastOne(reader, "lanes.count", "lanes", 0);
             for (int k = 0; k < reader.itemNames("lanes").size(); k++) {
-                over0(reader, "lanes." + k + ".deadline", "lanes." + k + ".deadline", 1);
+                requireAtLeastOne(reader, "lanes." + k + ".deadline", "lanes." + k + ".deadline", 1);
             }
-            over0(reader, "policyLimits.sendCap", "policyLimits.sendCap", 1);
+            requireAtLeastOne(reader, "policyLimits.sendCap", "policyLimits.sendCap", 1);
             settings = reader.toSettings(seed);
             settings.validate();
             keepAlive = (long) reader.number("policyLimits.keepalive", 60e6);
@@ -201,29 +201,29 @@
         ServerList.Update known = new ServerList.Update(0, true, List.of());
         if (root.get("known") != null) {
             try {
-                known = ServerList.parse(map(root.get("known"), "known"), names);
+                known = ServerList.parse(requireObject(root.get("known"), "known"), names);
             } catch (IllegalArgumentException e) {
                 throw new ConfigException("known: " + e.getMessage());
             }
         }
-        for (String list : List.of("lanes", "tenants")) {
-            List<String> named = reader.itemNames(list);
-            for (int k = 0; k < named.size(); k++) {
-                if (named.get(k).isEmpty() || named.indexOf(named.get(k)) < k) {
-                    throw new ConfigException("settings: " + list + "." + k + ".name is "
-                            + (named.get(k).isEmpty() ? "missing" : "there twice: " + named.get(k)));
+        for (String listName : List.of("lanes", "tenants")) {
+            List<String> itemNames = reader.itemNames(listName);
+            for (int k = 0; k < itemNames.size(); k++) {
+                if (itemNames.get(k).isEmpty() || itemNames.indexOf(itemNames.get(k)) < k) {
+                    throw new ConfigException("settings: " + listName + "." + k + ".name is "
+                            + (itemNames.get(k).isEmpty() ? "missing" : "there twice: " + itemNames.get(k)));
                 }
             }
         }
         Map<String, Object> fixed = new HashMap<>();
         root.forEach((field, value) -> fixed.put(String.valueOf(field), value));
-        fixed.keySet().removeAll(LIVE);
-        BUILT_ON.forEach(key -> fixed.put("settings." + key, reader.text(key)));
+        fixed.keySet().removeAll(RELOADABLE_FIELDS);
+        STARTUP_ONLY_SETTINGS.forEach(key -> fixed.put("settings." + key, reader.text(key)));
         return new Config(
                 readText(root, "name"),
-                address(readText(root, "listen"), "listen"),
-                address(readText(root, "discovery"), "discovery"),
-                root.get("ops") == null ? null : address(readText(root, "ops"), "ops"),
+                parseAddress(readText(root, "listen"), "listen"),
+                parseAddress(readText(root, "discovery"), "discovery"),
+                root.get("ops") == null ? null : parseAddress(readText(root, "ops"), "ops"),
                 sockets,
                 settings,
                 keepAlive,
@@ -232,7 +232,7 @@
                 reader.itemNames("tenants"),
                 names,
                 known,
-                peers(root, settings.ownIndex),
+                parsePeers(root, settings.ownIndex),
                 Set.copyOf(reader.itemNames("lanes")),
                 fixed,
                 root);
@@ -240,15 +240,15 @@
 
     /** The fields that differ from another configuration's and are taken over only at a start. */
     public List<String> fieldsNeedingRestart(Config other) {
-        Set<String> all = new TreeSet<>(fixed.keySet());
-        all.addAll(other.fixed.keySet());
-        all.removeIf(field -> Objects.equals(fixed.get(field), other.fixed.get(field)));
-        return List.copyOf(all);
+        Set<String> fields = new TreeSet<>(startupOnly.keySet());
+        fields.addAll(other.startupOnly.keySet());
+        fields.removeIf(field -> Objects.equals(startupOnly.get(field), other.startupOnly.get(field)));
+        return List.copyOf(fields);
     }
 
     /** The settings that this program has not heard of, and so does not heed. */
     public List<String> unknownSettings() {
-        return SettingsReader.of(map(raw.get("settings"), "settings")).unknownKeys();
+        return SettingsReader.of(requireObject(raw.get("settings"), "settings")).unknownKeys();
     }
 
     /** One line for a person. */
@@ -257,14 +257,14 @@
                 + tenants.size() + " tenants, " + knownServers.entries().size() + " known servers";
     }
 
-    private static void over0(SettingsReader reader, String key, String named, double otherwise) {
-        if (!(reader.number(key, otherwise) >= 1)) {
-            throw new IllegalArgumentException(named + (named.equals(key) ? " must be over 0" : " names no class"));
+    private static void requireAtLeastOne(SettingsReader reader, String key, String fieldPath, double defaultValue) {
+        if (!(reader.number(key, defaultValue) >= 1)) {
+            throw new IllegalArgumentException(fieldPath + (fieldPath.equals(key) ? " must be over 0" : " names no class"));
         }
     }
 
     /** Null where schedulers cannot reach one another. */
-    private static PeerConfig peers(Map<?, ?> root, int me) {
+    private static PeerConfig parsePeers(Map<?, ?> root, int ownNumber) {
         if (root.get("peer_listen") == null) {
             return null;
         }
@@ -272,16 +272,16 @@
             throw new ConfigException("peers is missing or not a list");
         }
         List<InetSocketAddress> peers = list.stream()
-                .map(peer -> address(String.valueOf(peer), "peers"))
+                .map(peer -> parseAddress(String.valueOf(peer), "peers"))
                 .toList();
         return new PeerConfig(
-                address(readText(root, "peer_listen"), "peer_listen"),
+                parseAddress(readText(root, "peer_listen"), "peer_listen"),
                 peers,
-                me,
-                address(readText(root, "peers_all"), "peers_all"));
+                ownNumber,
+                parseAddress(readText(root, "peers_all"), "peers_all"));
     }
 
-    private static InetSocketAddress address(String text, String field) {
+    private static InetSocketAddress parseAddress(String text, String field) {
         try {
             return Json.parseAddress(text, field);
         } catch (IllegalArgumentException e) {
@@ -289,7 +289,7 @@
         }
     }
 
-    private static long seed(String hex) {
+    private static long parseSeed(String hex) {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -304,7 +304,7 @@
         throw new ConfigException(field + " is missing or not a text");
     }
 
-    private static Map<?, ?> map(Object value, String field) {
+    private static Map<?, ?> requireObject(Object value, String field) {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
--- a/src/main/java/barrowshore/config/XmlFile.java
+++ b/src/main/java/barrowshore/config/XmlFile.java
@@ -35,7 +35,7 @@
     /** The largest file read. */
     public static final int MAX_BYTES = 1 << 20;
 
-    private static final String DISALLOW = "http://apache.org/xml/features/disallow-doctype-decl";
+    private static final String DISALLOW_DOCTYPE_FEATURE = "http://apache.org/xml/features/disallow-doctype-decl";
 
     private XmlFile() {}
 
@@ -85,11 +85,11 @@
 
         /** What is wrong with this element. */
         public ConfigException error(String file, String message) {
-            return new ConfigException(where(file, line, column) + ": " + name + ": " + message);
+            return new ConfigException(location(file, line, column) + ": " + name + ": " + message);
         }
     }
 
-    private static String where(String file, int line, int column) {
+    private static String location(String file, int line, int column) {
         return file + ": line " + line + ", column " + column;
     }
 
@@ -99,14 +99,14 @@
     }
 
     /** The same, for a file of at most so many bytes. */
-    public static Element read(Path file, Class<?> owner, String schema, int most) {
+    public static Element read(Path file, Class<?> owner, String schema, int maxBytes) {
         byte[] bytes;
         try (InputStream in = Files.newInputStream(file)) {
-            bytes = in.readNBytes(most + 1);
+            bytes = in.readNBytes(maxBytes + 1);
         } catch (IOException e) {
             throw new ConfigException(file + " cannot be read: " + e.getClass().getSimpleName());
         }
-        return read(file.toString(), bytes, owner, schema, most);
+        return read(file.toString(), bytes, owner, schema, maxBytes);
     }
 
     /** Reads bytes that came from a file of that name by the schema that is a resource beside the owner. */
@@ -115,33 +115,33 @@
     }
 
     /** The same, for at most so many bytes. */
-    public static Element read(String file, byte[] bytes, Class<?> owner, String schema, int most) {
-        if (bytes.length > most) {
-            throw new ConfigException(file + " is over " + most + " bytes");
+    public static Element read(String file, byte[] bytes, Class<?> owner, String schema, int maxBytes) {
+        if (bytes.length > maxBytes) {
+            throw new ConfigException(file + " is over " + maxBytes + " bytes");
         }
-        Reader reader = new Reader(file);
+        ElementHandler handler = new ElementHandler(file);
         try {
             SAXParserFactory factory = SAXParserFactory.newInstance();
             factory.setNamespaceAware(true);
             factory.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
-            factory.setFeature(DISALLOW, true);
+            factory.setFeature(DISALLOW_DOCTYPE_FEATURE, true);
             factory.setFeature("http://xml.org/sax/features/external-general-entities", false);
             factory.setFeature("http://xml.org/sax/features/external-parameter-entities", false);
             factory.setXIncludeAware(false);
-            factory.setSchema(schema(owner, schema));
-            factory.newSAXParser().parse(new InputSource(new ByteArrayInputStream(bytes)), reader);
+            factory.setSchema(loadSchema(owner, schema));
+            factory.newSAXParser().parse(new InputSource(new ByteArrayInputStream(bytes)), handler);
         } catch (SAXParseException e) {
-            throw new ConfigException(where(file, e.getLineNumber(), e.getColumnNumber()) + ": "
-                    + element(bytes, e.getLineNumber(), e.getColumnNumber()) + oneLine(e.getMessage()));
+            throw new ConfigException(location(file, e.getLineNumber(), e.getColumnNumber()) + ": "
+                    + enclosingTag(bytes, e.getLineNumber(), e.getColumnNumber()) + simplifyMessage(e.getMessage()));
         } catch (IOException e) {
-            throw new ConfigException(file + " cannot be read: " + oneLine(e.getMessage()));
+            throw new ConfigException(file + " cannot be read: " + simplifyMessage(e.getMessage()));
         } catch (SAXException | ParserConfigurationException e) {
-            throw new ConfigException(file + ": " + oneLine(e.getMessage()));
+            throw new ConfigException(file + ": " + simplifyMessage(e.getMessage()));
         }
-        return reader.root;
+        return handler.root;
     }
 
-    private static Schema schema(Class<?> owner, String name) throws SAXException, IOException {
+    private static Schema loadSchema(Class<?> owner, String name) throws SAXException, IOException {
         SchemaFactory factory = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
         factory.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
         factory.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
@@ -154,23 +154,23 @@
     }
 
     /** The tag that a place stands in or right behind; the parser tells of errors before it tells of the element. */
-    private static String element(byte[] bytes, int line, int column) {
+    private static String enclosingTag(byte[] bytes, int line, int column) {
         String[] lines = new String(bytes, StandardCharsets.UTF_8).split("\n", -1);
-        StringBuilder before = new StringBuilder();
+        StringBuilder textBefore = new StringBuilder();
         for (int k = Math.max(0, line - 20); k < Math.min(line, lines.length); k++) {
-            before.append(
+            textBefore.append(
                             k < line - 1
                                     ? lines[k]
                                     : lines[k].substring(0, Math.max(0, Math.min(column - 1, lines[k].length()))))
                     .append(' ');
         }
-        int tag = before.lastIndexOf("<");
-        Matcher name = Pattern.compile("</?([A-Za-z][\\w.-]*)").matcher(before);
-        return tag >= 0 && name.find(tag) ? name.group(1) + ": " : "";
+        int tagStart = textBefore.lastIndexOf("<");
+        Matcher name = Pattern.compile("</?([A-Za-z][\\w.-]*)").matcher(textBefore);
+        return tagStart >= 0 && name.find(tagStart) ? name.group(1) + ": " : "";
     }
 
     /** The parser's own message without its code; the code is of use to nobody who edits a file. */
-    private static String oneLine(String message) {
+    private static String simplifyMessage(String message) {
         return String.valueOf(message)
                 .replaceFirst("^[A-Za-z0-9.-]+: ", "")
                 .replaceAll("\\s+", " ")
@@ -179,13 +179,13 @@
     }
 
     /** Collects the elements; anything that the schema or the parser does not like ends the reading. */
-    private static final class Reader extends DefaultHandler {
+    private static final class ElementHandler extends DefaultHandler {
         private final String file;
-        private final Deque<Element> open = new ArrayDeque<>();
+        private final Deque<Element> openElements = new ArrayDeque<>();
         private Locator locator;
         private Element root;
 
-        Reader(String file) {
+        ElementHandler(String file) {
             this.file = file;
         }
 
@@ -195,24 +195,24 @@
         }
 
         @Override
-        public void startElement(String uri, String local, String qualified, Attributes given) {
+        public void startElement(String uri, String local, String qualified, Attributes parsedAttributes) {
             Map<String, String> attributes = new HashMap<>();
-            for (int k = 0; k < given.getLength(); k++) {
-                attributes.put(given.getLocalName(k), given.getValue(k).strip());
+            for (int k = 0; k < parsedAttributes.getLength(); k++) {
+                attributes.put(parsedAttributes.getLocalName(k), parsedAttributes.getValue(k).strip());
             }
             Element element = new Element(
                     local, attributes, new ArrayList<>(), locator.getLineNumber(), locator.getColumnNumber());
-            if (open.isEmpty()) {
+            if (openElements.isEmpty()) {
                 root = element;
             } else {
-                open.peek().children.add(element);
+                openElements.peek().children.add(element);
             }
-            open.push(element);
+            openElements.push(element);
         }
 
         @Override
         public void endElement(String uri, String local, String qualified) {
-            open.pop();
+            openElements.pop();
         }
 
         @Override
--- a/src/main/java/barrowshore/files/FileSigner.java
+++ b/src/main/java/barrowshore/files/FileSigner.java
@@ -24,12 +24,12 @@
  */
 public final class FileSigner {
     private static final String ALGORITHM = "HmacSHA256";
-    private static final Pattern ID = Pattern.compile("[0-9A-Za-z._-]{1,32}");
+    private static final Pattern KEY_ID = Pattern.compile("[0-9A-Za-z._-]{1,32}");
     /** Bytes of a key at least, and of a MAC file at most. */
-    private static final int LEAST_KEY = 32;
+    private static final int MIN_KEY_BYTES = 32;
 
-    private static final int MOST_MAC = 4096;
-    private static final Set<PosixFilePermission> OTHERS = EnumSet.of(
+    private static final int MAX_MAC_FILE_BYTES = 4096;
+    private static final Set<PosixFilePermission> GROUP_AND_OTHERS = EnumSet.of(
             PosixFilePermission.GROUP_READ,
             PosixFilePermission.GROUP_WRITE,
             PosixFilePermission.GROUP_EXECUTE,
@@ -37,29 +37,29 @@
             PosixFilePermission.OTHERS_WRITE,
             PosixFilePermission.OTHERS_EXECUTE);
 
-    private final Path keys;
+    private final Path keyDirectory;
 
     /** MACs by the keys in a directory: a file {@code ID.key} for each, in hexadecimal. */
-    public FileSigner(Path keys) {
-        this.keys = keys;
+    public FileSigner(Path keyDirectory) {
+        this.keyDirectory = keyDirectory;
     }
 
-    private static Path beside(Path file) {
+    private static Path macFile(Path file) {
         return file.resolveSibling(file.getFileName() + ".mac");
     }
 
-    private byte[] key(String id) {
-        if (!ID.matcher(id).matches()) {
+    private byte[] readKey(String id) {
+        if (!KEY_ID.matcher(id).matches()) {
             throw new ConfigException("key id " + id + " is not a word of at most 32 letters and digits");
         }
-        Path file = keys.resolve(id + ".key");
+        Path file = keyDirectory.resolve(id + ".key");
         try {
-            if (Files.getPosixFilePermissions(file).stream().anyMatch(OTHERS::contains)) {
+            if (Files.getPosixFilePermissions(file).stream().anyMatch(GROUP_AND_OTHERS::contains)) {
                 throw new ConfigException("key " + file + " can be read by others than its owner; it is not used");
             }
             byte[] key = HexFormat.of().parseHex(Files.readString(file).strip());
-            if (key.length < LEAST_KEY) {
-                throw new ConfigException("key " + file + " is shorter than " + LEAST_KEY + " bytes");
+            if (key.length < MIN_KEY_BYTES) {
+                throw new ConfigException("key " + file + " is shorter than " + MIN_KEY_BYTES + " bytes");
             }
             return key;
         } catch (IOException | UnsupportedOperationException e) {
@@ -70,10 +70,10 @@
         }
     }
 
-    private byte[] mac(String id, byte[] bytes) {
+    private byte[] computeMac(String id, byte[] bytes) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
-            mac.init(new SecretKeySpec(key(id), ALGORITHM));
+            mac.init(new SecretKeySpec(readKey(id), ALGORITHM));
             return mac.doFinal(bytes);
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
@@ -81,19 +81,19 @@
     }
 
     /** Writes the MACs of a file by these keys beside it, whole. */
-    public void sign(Path file, List<String> ids) {
+    public void sign(Path file, List<String> keyIds) {
         try {
             byte[] bytes = Files.readAllBytes(file);
             StringBuilder lines = new StringBuilder();
-            for (String id : ids) {
+            for (String id : keyIds) {
                 lines.append(id)
                         .append(' ')
-                        .append(HexFormat.of().formatHex(mac(id, bytes)))
+                        .append(HexFormat.of().formatHex(computeMac(id, bytes)))
                         .append('\n');
             }
-            Path fresh = file.resolveSibling(file.getFileName() + ".mac.new");
-            Files.writeString(fresh, lines);
-            Files.move(fresh, beside(file), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Path temporaryFile = file.resolveSibling(file.getFileName() + ".mac.new");
+            Files.writeString(temporaryFile, lines);
+            Files.move(temporaryFile, macFile(file), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             throw new ConfigException(
                     file + " cannot be signed: " + e.getClass().getSimpleName());
@@ -104,32 +104,32 @@
     public void verify(Path file, byte[] bytes) {
         String text;
         try {
-            if (Files.size(beside(file)) > MOST_MAC) {
-                throw new ConfigException(beside(file) + " is over " + MOST_MAC + " bytes");
+            if (Files.size(macFile(file)) > MAX_MAC_FILE_BYTES) {
+                throw new ConfigException(macFile(file) + " is over " + MAX_MAC_FILE_BYTES + " bytes");
             }
-            text = Files.readString(beside(file), StandardCharsets.US_ASCII);
+            text = Files.readString(macFile(file), StandardCharsets.US_ASCII);
         } catch (IOException e) {
             throw new ConfigException(
-                    beside(file) + " cannot be read: " + e.getClass().getSimpleName());
+                    macFile(file) + " cannot be read: " + e.getClass().getSimpleName());
         }
-        String why = "it holds no MAC";
+        String reason = "it holds no MAC";
         for (String line : text.lines().toList()) {
             String[] words = line.strip().split(" +");
             if (words.length != 2) {
-                why = "it has a line that is not 'key-id hex'";
+                reason = "it has a line that is not 'key-id hex'";
                 continue;
             }
             try {
-                if (MessageDigest.isEqual(mac(words[0], bytes), HexFormat.of().parseHex(words[1]))) {
+                if (MessageDigest.isEqual(computeMac(words[0], bytes), HexFormat.of().parseHex(words[1]))) {
                     return;
                 }
-                why = "its MAC by key " + words[0] + " is not that of the file";
+                reason = "its MAC by key " + words[0] + " is not that of the file";
             } catch (ConfigException e) {
-                why = e.getMessage();
+                reason = e.getMessage();
             } catch (IllegalArgumentException e) {
-                why = "its MAC by key " + words[0] + " is not hexadecimal";
+                reason = "its MAC by key " + words[0] + " is not hexadecimal";
             }
         }
-        throw new ConfigException(beside(file) + ": " + why);
+        throw new ConfigException(macFile(file) + ": " + reason);
     }
 }
--- a/src/main/java/barrowshore/files/ServersFile.java
+++ b/src/main/java/barrowshore/files/ServersFile.java
@@ -32,25 +32,25 @@
 
     /** Reads a file; a {@link ConfigException} names line, column and element. */
     public static OperatorServerList read(Path file) {
-        return of(file.toString(), XmlFile.read(file, ServersFile.class, "servers.xsd", MAX_BYTES));
+        return toServerList(file.toString(), XmlFile.read(file, ServersFile.class, "servers.xsd", MAX_BYTES));
     }
 
     /** Reads bytes as the file of that name. */
     public static OperatorServerList parse(String file, byte[] bytes) {
-        return of(file, XmlFile.read(file, bytes, ServersFile.class, "servers.xsd", MAX_BYTES));
+        return toServerList(file, XmlFile.read(file, bytes, ServersFile.class, "servers.xsd", MAX_BYTES));
     }
 
-    private static OperatorServerList of(String file, Element root) {
-        IPv4AddressTrie four = new IPv4AddressTrie();
-        IPv6AddressTrie six = new IPv6AddressTrie();
+    private static OperatorServerList toServerList(String file, Element root) {
+        IPv4AddressTrie ipv4Networks = new IPv4AddressTrie();
+        IPv6AddressTrie ipv6Networks = new IPv6AddressTrie();
         Element networks = root.firstChildNamed("networks");
         if (networks != null) {
             for (Element e : networks.children()) {
-                IPAddress block = block(file, e);
+                IPAddress block = parseNetwork(file, e);
                 if (block.isIPv4()) {
-                    four.add(block.toIPv4());
+                    ipv4Networks.add(block.toIPv4());
                 } else {
-                    six.add(block.toIPv6());
+                    ipv6Networks.add(block.toIPv6());
                 }
             }
         }
@@ -59,66 +59,66 @@
             throw root.error(file, entries.size() + " servers, over " + MAX_SERVERS);
         }
         Map<String, Server> servers = new LinkedHashMap<>();
-        Map<InetSocketAddress, Server> ends = new HashMap<>();
+        Map<InetSocketAddress, Server> serversByEndpoint = new HashMap<>();
         for (Element e : entries) {
-            Server server = server(file, e, networks == null ? null : four, six);
-            Server before = servers.put(server.uid(), server);
-            if (before != null) {
+            Server server = parseServer(file, e, networks == null ? null : ipv4Networks, ipv6Networks);
+            Server earlier = servers.put(server.uid(), server);
+            if (earlier != null) {
                 throw e.error(
                         file,
-                        "uid " + server.uid() + " is in line " + before.line() + " already"
-                                + (before.weight() != server.weight() ? ", with another weight" : ""));
+                        "uid " + server.uid() + " is in line " + earlier.line() + " already"
+                                + (earlier.weight() != server.weight() ? ", with another weight" : ""));
             }
-            before = ends.put(server.endpoint(), server);
-            if (before != null) {
+            earlier = serversByEndpoint.put(server.endpoint(), server);
+            if (earlier != null) {
                 throw e.error(
                         file,
-                        "endpoint " + e.get("endpoint") + " is that of " + before.uid() + " in line " + before.line());
+                        "endpoint " + e.get("endpoint") + " is that of " + earlier.uid() + " in line " + earlier.line());
             }
         }
         return new OperatorServerList(
                 file, (long) root.number("revision"), isTrue(root.get("force")), root.micros("grace"), servers);
     }
 
-    private static IPAddress block(String file, Element e) {
+    private static IPAddress parseNetwork(String file, Element element) {
         try {
-            IPAddress block = new IPAddressString(e.get("block")).toAddress();
+            IPAddress block = new IPAddressString(element.get("block")).toAddress();
             if (block == null || block.isMultiple() && !block.isPrefixBlock()) {
-                throw e.error(file, e.get("block") + " is no network; its host bits must be 0");
+                throw element.error(file, element.get("block") + " is no network; its host bits must be 0");
             }
             if (block.isPrefixed() && !block.isPrefixBlock()) {
-                throw e.error(file, e.get("block") + " is no network; its host bits must be 0");
+                throw element.error(file, element.get("block") + " is no network; its host bits must be 0");
             }
             return block;
-        } catch (AddressStringException wrong) {
-            throw e.error(file, e.get("block") + " is no network");
+        } catch (AddressStringException cause) {
+            throw element.error(file, element.get("block") + " is no network");
         }
     }
 
-    private static Server server(String file, Element e, IPv4AddressTrie four, IPv6AddressTrie six) {
-        HostName host = new HostName(e.get("endpoint"));
+    private static Server parseServer(String file, Element element, IPv4AddressTrie ipv4Networks, IPv6AddressTrie ipv6Networks) {
+        HostName host = new HostName(element.get("endpoint"));
         if (!host.isValid()
                 || !host.isAddress()
                 || host.getPort() == null
                 || host.asAddress().isMultiple()) {
-            throw e.error(file, "endpoint " + e.get("endpoint") + " is not address:port");
+            throw element.error(file, "endpoint " + element.get("endpoint") + " is not address:port");
         }
         IPAddress address = host.asAddress();
-        boolean inside = four == null
-                || (address.isIPv4() ? four.elementContains(address.toIPv4()) : six.elementContains(address.toIPv6()));
-        if (!inside) {
-            throw e.error(file, "endpoint " + e.get("endpoint") + " is in none of the networks");
+        boolean inNetworks = ipv4Networks == null
+                || (address.isIPv4() ? ipv4Networks.elementContains(address.toIPv4()) : ipv6Networks.elementContains(address.toIPv6()));
+        if (!inNetworks) {
+            throw element.error(file, "endpoint " + element.get("endpoint") + " is in none of the networks");
         }
         return new Server(
-                e.get("uid"),
+                element.get("uid"),
                 new InetSocketAddress(address.toInetAddress(), host.getPort()),
-                e.get("hall"),
-                e.get("model"),
-                e.number("weight"),
-                (int) e.number("cell"),
-                "drain".equals(e.get("state")),
-                isTrue(e.get("warm")),
-                e.line());
+                element.get("hall"),
+                element.get("model"),
+                element.number("weight"),
+                (int) element.number("cell"),
+                "drain".equals(element.get("state")),
+                isTrue(element.get("warm")),
+                element.line());
     }
 
     private static boolean isTrue(String text) {
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -31,26 +31,26 @@
 public final class WatchedFile {
     private static final System.Logger LOG = System.getLogger(WatchedFile.class.getName());
     /** Milliseconds between looks that no event has asked for. */
-    private static final long POLL = 1000;
+    private static final long POLL_MILLIS = 1000;
     /** How long a content must stand before it is taken for whole. */
-    private static final long SETTLE = 50;
+    private static final long SETTLE_MILLIS = 50;
     /** Files taken over at most so often; the latest wins. */
-    private static final long PAUSE = 200;
+    private static final long TAKEOVER_PAUSE_MILLIS = 200;
 
     private final Path file;
-    private final double mostLost;
-    private final FileSigner macs;
-    private final Function<OperatorServerList, RuntimeException> taker;
+    private final double maxLostShare;
+    private final FileSigner signer;
+    private final Function<OperatorServerList, RuntimeException> applyList;
     private final Scheduler timers;
     private final Mailbox mailbox;
-    private final WatchService watch;
-    private byte[] seen;
-    private byte[] judged;
+    private final WatchService watchService;
+    private byte[] lastContent;
+    private byte[] checkedContent;
     private OperatorServerList inUse;
-    private boolean looking;
+    private boolean inspectionDue;
     private boolean stopped;
     private boolean paused;
-    private String said = "";
+    private String lastMessage = "";
 
     /**
      * Watches a file from now on. taker: puts a file to use, in this actor's mailbox, and returns what is wrong with it
@@ -59,23 +59,23 @@
      */
     public WatchedFile(
             Path file,
-            double mostLost,
-            FileSigner macs,
+            double maxLostShare,
+            FileSigner signer,
             Executor pool,
             Scheduler timers,
-            Function<OperatorServerList, RuntimeException> taker) {
+            Function<OperatorServerList, RuntimeException> applyList) {
         this.file = file.toAbsolutePath();
-        this.mostLost = mostLost;
-        this.macs = macs;
-        this.taker = taker;
+        this.maxLostShare = maxLostShare;
+        this.signer = signer;
+        this.applyList = applyList;
         this.timers = timers;
         this.mailbox = new Mailbox("the servers' file " + file, pool);
-        this.watch = open();
+        this.watchService = startWatch();
         mailbox.post(this::inspect);
-        poll();
+        schedulePoll();
     }
 
-    private WatchService open() {
+    private WatchService startWatch() {
         try {
             WatchService service = file.getFileSystem().newWatchService();
             file.getParent()
@@ -84,23 +84,23 @@
                             StandardWatchEventKinds.ENTRY_CREATE,
                             StandardWatchEventKinds.ENTRY_MODIFY,
                             StandardWatchEventKinds.ENTRY_DELETE);
-            Thread thread = new Thread(() -> await(service), "watch of " + file.getFileName());
+            Thread thread = new Thread(() -> awaitEvents(service), "watch of " + file.getFileName());
             thread.setDaemon(true);
             thread.start();
             return service;
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "{0}: no events from its directory, looked at every {1} ms: {2}", file, POLL, e);
+            LOG.log(Level.WARNING, "{0}: no events from its directory, looked at every {1} ms: {2}", file, POLL_MILLIS, e);
             return null;
         }
     }
 
     /** Only says that there is something to look at. */
-    private void await(WatchService service) {
+    private void awaitEvents(WatchService service) {
         try {
             while (true) {
                 WatchKey key = service.take();
                 key.pollEvents();
-                mailbox.post(this::hasten);
+                mailbox.post(this::scheduleInspection);
                 if (!key.reset()) {
                     return; // the directory is gone; the poll goes on
                 }
@@ -112,28 +112,28 @@
         }
     }
 
-    private void poll() {
+    private void schedulePoll() {
         timers.schedule(
                 () -> mailbox.post(() -> {
                     if (!stopped) {
                         inspect();
-                        poll();
+                        schedulePoll();
                     }
                 }),
-                POLL,
+                POLL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** However many events there are, one look is due at a time. */
-    private void hasten() {
-        if (!looking && !stopped) {
-            looking = true;
+    private void scheduleInspection() {
+        if (!inspectionDue && !stopped) {
+            inspectionDue = true;
             timers.schedule(
                     () -> mailbox.post(() -> {
-                        looking = false;
+                        inspectionDue = false;
                         inspect();
                     }),
-                    SETTLE,
+                    SETTLE_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -142,52 +142,52 @@
         if (stopped || paused) {
             return;
         }
-        byte[] now;
+        byte[] content;
         try (InputStream in = Files.newInputStream(file)) {
-            now = in.readNBytes(ServersFile.MAX_BYTES + 1);
+            content = in.readNBytes(ServersFile.MAX_BYTES + 1);
         } catch (IOException e) {
-            seen = null;
-            say(Level.WARNING, "cannot be read (" + e.getClass().getSimpleName() + ")" + kept());
+            lastContent = null;
+            logOnce(Level.WARNING, "cannot be read (" + e.getClass().getSimpleName() + ")" + inUseText());
             return;
         }
-        if (!Arrays.equals(now, seen)) {
-            seen = now;
-            hasten(); // it may be half written: it counts when it has stood
-        } else if (!Arrays.equals(now, judged)) {
-            judged = now;
-            judge(now);
+        if (!Arrays.equals(content, lastContent)) {
+            lastContent = content;
+            scheduleInspection(); // it may be half written: it counts when it has stood
+        } else if (!Arrays.equals(content, checkedContent)) {
+            checkedContent = content;
+            checkContent(content);
         }
     }
 
-    private void judge(byte[] bytes) {
+    private void checkContent(byte[] bytes) {
         try {
-            if (macs != null) {
-                judged = null; // its MAC may come after it: it is judged again until there is a good one
-                macs.verify(file, bytes);
-                judged = bytes;
+            if (signer != null) {
+                checkedContent = null; // its MAC may come after it: it is judged again until there is a good one
+                signer.verify(file, bytes);
+                checkedContent = bytes;
             }
             OperatorServerList next = ServersFile.parse(file.toString(), bytes);
-            ServerListChangePolicy.Decision verdict = ServerListChangePolicy.check(inUse, next, mostLost);
-            switch (verdict.outcome()) {
-                case TAKEN -> take(next);
+            ServerListChangePolicy.Decision decision = ServerListChangePolicy.check(inUse, next, maxLostShare);
+            switch (decision.outcome()) {
+                case TAKEN -> takeOver(next);
                 case SAME -> inUse = next;
-                case HELD, REFUSED -> say(
-                        Level.WARNING, "revision " + next.revision() + " is not taken: " + verdict.reason() + kept());
-                default -> throw new IllegalStateException("no such outcome: " + verdict.outcome());
+                case HELD, REFUSED -> logOnce(
+                        Level.WARNING, "revision " + next.revision() + " is not taken: " + decision.reason() + inUseText());
+                default -> throw new IllegalStateException("no such outcome: " + decision.outcome());
             }
         } catch (ConfigException e) {
-            say(Level.WARNING, "left unused: " + e.getMessage() + kept());
+            logOnce(Level.WARNING, "left unused: " + e.getMessage() + inUseText());
         }
     }
 
-    private void take(OperatorServerList next) {
-        RuntimeException wrong = taker.apply(next);
-        if (wrong != null) {
-            say(Level.WARNING, "left unused: " + wrong.getMessage() + kept());
+    private void takeOver(OperatorServerList next) {
+        RuntimeException error = applyList.apply(next);
+        if (error != null) {
+            logOnce(Level.WARNING, "left unused: " + error.getMessage() + inUseText());
             return;
         }
         inUse = next;
-        said = "";
+        lastMessage = "";
         LOG.log(Level.INFO, "{0}: taken, {1}", file, next.summary());
         paused = true;
         timers.schedule(
@@ -195,33 +195,33 @@
                     paused = false;
                     inspect();
                 }),
-                PAUSE,
+                TAKEOVER_PAUSE_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private String kept() {
+    private String inUseText() {
         return inUse == null ? "; none is in use" : "; revision " + inUse.revision() + " stays in use";
     }
 
     /** Once for each thing to say: a file that stays broken is not news every second. */
-    private void say(Level level, String text) {
-        if (!text.equals(said)) {
-            said = text;
+    private void logOnce(Level level, String text) {
+        if (!text.equals(lastMessage)) {
+            lastMessage = text;
             LOG.log(level, "{0}: {1}", file, text);
         }
     }
 
     /** Shows the file in use (null: none) to one who only looks. */
-    public void inspect(Consumer<OperatorServerList> looker) {
-        mailbox.post(() -> looker.accept(inUse));
+    public void inspect(Consumer<OperatorServerList> reader) {
+        mailbox.post(() -> reader.accept(inUse));
     }
 
     /** Stops watching; what is in use stays with whoever took it. */
     public void stop() {
         mailbox.post(() -> stopped = true);
-        if (watch != null) {
+        if (watchService != null) {
             try {
-                watch.close();
+                watchService.close();
             } catch (IOException e) {
                 LOG.log(Level.DEBUG, "a watch did not close", e);
             }
--- a/src/main/java/barrowshore/wire/SettingsReader.java
+++ b/src/main/java/barrowshore/wire/SettingsReader.java
@@ -19,7 +19,7 @@
  */
 public final class SettingsReader {
     /** What the protocol pages name, read here or not; numbers as in {@link #unknownServers}. */
-    private static final Set<String> NAMED = Set.of(
+    private static final Set<String> KNOWN_KEYS = Set.of(
             "groupSize",
             "me",
             "zone",
@@ -100,11 +100,11 @@
 
     private final Map<String, String> pairs = new HashMap<>();
 
-    private SettingsReader(String conf) {
-        for (String pair : conf.split(" ")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+    private SettingsReader(String pairsText) {
+        for (String pair : pairsText.split(" ")) {
+            int equalsSign = pair.indexOf('=');
+            if (equalsSign > 0) {
+                pairs.put(pair.substring(0, equalsSign), pair.substring(equalsSign + 1));
             } else if (!pair.isEmpty()) {
                 throw new IllegalArgumentException("setting without '=': " + pair);
             }
@@ -149,14 +149,14 @@
         return pairs.keySet().stream()
                 .map(key -> key.replaceAll("\\.[0-9]+(?=\\.|$)", ".N"))
                 .distinct()
-                .filter(key -> !NAMED.contains(key))
+                .filter(key -> !KNOWN_KEYS.contains(key))
                 .sorted()
                 .toList();
     }
 
     /** The items of a list of plain values. */
     public List<String> listItems(String key) {
-        return List.of(list(key));
+        return List.of(splitList(key));
     }
 
     /** The field {@code name} of each item of a list of objects. */
@@ -169,72 +169,72 @@
     }
 
     /** A reader of the simulator's text. */
-    static SettingsReader of(String conf) {
-        return new SettingsReader(conf);
+    static SettingsReader of(String pairsText) {
+        return new SettingsReader(pairsText);
     }
 
-    static Settings read(long seed, String conf) {
-        return of(conf).toSettings(seed);
+    static Settings parseSettings(long seed, String pairsText) {
+        return of(pairsText).toSettings(seed);
     }
 
     /** The module's settings; a value that cannot be read gets an IllegalArgumentException that names it. */
     public Settings toSettings(long seed) {
-        Settings s = new Settings();
-        s.seed = seed;
-        s.dispatchers = (int) number("groupSize", s.dispatchers);
-        s.ownIndex = (int) number("me", s.ownIndex);
-        s.zone = (int) number("zone", s.zone);
-        s.kinds = Math.max(1, list("kinds").length);
-        s.tickMicros = (long) number("tick", s.tickMicros);
-        s.overQuotaWorth = number("overShareWorth", s.overQuotaWorth);
-        s.worthPerWork = "work".equals(pairs.get("worthBy"));
-        s.maxAttempts = (int) number("policyLimits.sendCap", s.maxAttempts);
-        s.mayHedge = flag("policyLimits.secondCopies", s.mayHedge);
-        s.mayCancel = flag("policyLimits.cancel", s.mayCancel);
-        s.mayProbe = flag("policyLimits.probing", s.mayProbe);
-        s.mayMessagePeers = flag("policyLimits.mayTell", s.mayMessagePeers);
-        s.maxRetryAfterMicros = (long) number("policyLimits.maxRetryAfter", s.maxRetryAfterMicros);
-        s.ratingsReflectLoad = "live".equals(pairs.get("weights"));
-        s.pollsList = "subscribe".equals(pairs.get("discovery"));
-        s.listPollMicros = (long) number("rules.askEvery", s.listPollMicros);
-        s.notesStart = flag("domain.tellsStart", s.notesStart);
-        s.progressMicros = (long) number("domain.progress", s.progressMicros);
-        s.connectTimeoutMicros = (long) number("policyLimits.dialTimeout", s.connectTimeoutMicros);
-        s.startCapacity = number("rules.startCapacity", s.startCapacity);
-        s.warmUpMicros = (long) number("rules.cold", s.warmUpMicros);
-        s.overloadMultiple = number("rules.fallMultiple", s.overloadMultiple);
-        s.overloadWindowMicros = (long) number("rules.fall", s.overloadWindowMicros);
-        s.crossZoneCharge = number("charges.crossZone", s.crossZoneCharge);
-        s.reportSource = switch (pairs.getOrDefault("telemetry.how", "silent")) {
+        Settings settings = new Settings();
+        settings.seed = seed;
+        settings.dispatchers = (int) number("groupSize", settings.dispatchers);
+        settings.ownIndex = (int) number("me", settings.ownIndex);
+        settings.zone = (int) number("zone", settings.zone);
+        settings.kinds = Math.max(1, splitList("kinds").length);
+        settings.tickMicros = (long) number("tick", settings.tickMicros);
+        settings.overQuotaWorth = number("overShareWorth", settings.overQuotaWorth);
+        settings.worthPerWork = "work".equals(pairs.get("worthBy"));
+        settings.maxAttempts = (int) number("policyLimits.sendCap", settings.maxAttempts);
+        settings.mayHedge = flag("policyLimits.secondCopies", settings.mayHedge);
+        settings.mayCancel = flag("policyLimits.cancel", settings.mayCancel);
+        settings.mayProbe = flag("policyLimits.probing", settings.mayProbe);
+        settings.mayMessagePeers = flag("policyLimits.mayTell", settings.mayMessagePeers);
+        settings.maxRetryAfterMicros = (long) number("policyLimits.maxRetryAfter", settings.maxRetryAfterMicros);
+        settings.ratingsReflectLoad = "live".equals(pairs.get("weights"));
+        settings.pollsList = "subscribe".equals(pairs.get("discovery"));
+        settings.listPollMicros = (long) number("rules.askEvery", settings.listPollMicros);
+        settings.notesStart = flag("domain.tellsStart", settings.notesStart);
+        settings.progressMicros = (long) number("domain.progress", settings.progressMicros);
+        settings.connectTimeoutMicros = (long) number("policyLimits.dialTimeout", settings.connectTimeoutMicros);
+        settings.startCapacity = number("rules.startCapacity", settings.startCapacity);
+        settings.warmUpMicros = (long) number("rules.cold", settings.warmUpMicros);
+        settings.overloadMultiple = number("rules.fallMultiple", settings.overloadMultiple);
+        settings.overloadWindowMicros = (long) number("rules.fall", settings.overloadWindowMicros);
+        settings.crossZoneCharge = number("charges.crossZone", settings.crossZoneCharge);
+        settings.reportSource = switch (pairs.getOrDefault("telemetry.how", "silent")) {
             case "piggyback" -> ReportSource.ANSWERS;
             case "pull" -> ReportSource.PROBES;
             default -> ReportSource.NONE;
         };
-        s.classes = new JobClass[(int) number("lanes.count", 0)];
-        String[] kinds = list("domain.classKind"), stretch = list("domain.classStretch");
-        String[] priority = list("domain.classPriority");
-        for (int c = 0; c < s.classes.length; c++) {
-            String lane = "lanes." + c + ".";
-            s.classes[c] = new JobClass(
-                    (long) number(lane + "aim", 100_000),
-                    item(stretch, c, number(lane + "aimStretch", 0)),
-                    (long) number(lane + "deadline", 1_000_000),
-                    number(lane + "worth", 1),
-                    number(lane + "lateShare", 0),
-                    effect(pairs.getOrDefault(lane + "idempotency", "at_most_once")),
-                    scope(pairs.getOrDefault(lane + "keyScope", "cell")),
-                    (long) number(lane + "repeatWindow", 0),
-                    (int) item(kinds, c, -1),
-                    (int) item(priority, c, 0));
+        settings.classes = new JobClass[(int) number("lanes.count", 0)];
+        String[] classKinds = splitList("domain.classKind"), classStretches = splitList("domain.classStretch");
+        String[] classPriorities = splitList("domain.classPriority");
+        for (int c = 0; c < settings.classes.length; c++) {
+            String classPrefix = "lanes." + c + ".";
+            settings.classes[c] = new JobClass(
+                    (long) number(classPrefix + "aim", 100_000),
+                    numberAt(classStretches, c, number(classPrefix + "aimStretch", 0)),
+                    (long) number(classPrefix + "deadline", 1_000_000),
+                    number(classPrefix + "worth", 1),
+                    number(classPrefix + "lateShare", 0),
+                    parseRepeatSafety(pairs.getOrDefault(classPrefix + "idempotency", "at_most_once")),
+                    parseDedupScope(pairs.getOrDefault(classPrefix + "keyScope", "cell")),
+                    (long) number(classPrefix + "repeatWindow", 0),
+                    (int) numberAt(classKinds, c, -1),
+                    (int) numberAt(classPriorities, c, 0));
         }
-        s.tenantQuota = new double[(int) number("tenants.count", 0)];
-        for (int t = 0; t < s.tenantQuota.length; t++) {
-            s.tenantQuota[t] = number("tenants." + t + ".quotaPerS", Double.MAX_VALUE);
+        settings.tenantQuota = new double[(int) number("tenants.count", 0)];
+        for (int t = 0; t < settings.tenantQuota.length; t++) {
+            settings.tenantQuota[t] = number("tenants." + t + ".quotaPerS", Double.MAX_VALUE);
         }
-        return s;
+        return settings;
     }
 
-    private static RepeatSafety effect(String word) {
+    private static RepeatSafety parseRepeatSafety(String word) {
         return switch (word) {
             case "idempotent" -> RepeatSafety.SAFE;
             case "deduplicated" -> RepeatSafety.KEYED;
@@ -242,7 +242,7 @@
         };
     }
 
-    private static DedupScope scope(String word) {
+    private static DedupScope parseDedupScope(String word) {
         return switch (word) {
             case "all" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
@@ -256,12 +256,12 @@
     }
 
     /** A number, or the other value where the key is absent. */
-    public double number(String key, double otherwise) {
+    public double number(String key, double defaultValue) {
         String value = pairs.get(key);
-        return value == null || value.isEmpty() || value.equals("-") ? otherwise : parse(key, value);
+        return value == null || value.isEmpty() || value.equals("-") ? defaultValue : parseNumber(key, value);
     }
 
-    private static double parse(String key, String value) {
+    private static double parseNumber(String key, String value) {
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
@@ -269,17 +269,17 @@
         }
     }
 
-    private boolean flag(String key, boolean otherwise) {
+    private boolean flag(String key, boolean defaultValue) {
         String value = pairs.get(key);
-        return value == null ? otherwise : value.equals("true") || value.equals("1");
+        return value == null ? defaultValue : value.equals("true") || value.equals("1");
     }
 
-    private String[] list(String key) {
+    private String[] splitList(String key) {
         String value = pairs.getOrDefault(key, "");
         return value.isEmpty() || value.equals("-") ? new String[0] : value.split(",");
     }
 
-    private static double item(String[] list, int k, double otherwise) {
-        return k < list.length ? parse("list item " + k, list[k]) : otherwise;
+    private static double numberAt(String[] list, int index, double defaultValue) {
+        return index < list.length ? parseNumber("list item " + index, list[index]) : defaultValue;
     }
 }
--- a/src/main/java/barrowshore/wire/WireHost.java
+++ b/src/main/java/barrowshore/wire/WireHost.java
@@ -23,12 +23,12 @@
 
 /** Hosts many dispatchers on the wire: turns its lines into calls and their actions into lines. Decides nothing. */
 public final class WireHost {
-    private final Line line;
+    private final LineReader line;
     private final OutputStream out;
-    private final BiConsumer<List<String>, Settings> amend;
+    private final BiConsumer<List<String>, Settings> adjustSettings;
     private final StringBuilder reply = new StringBuilder(1 << 14);
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private long now;
+    private long nowMicros;
 
     /** A host that reads batches from one stream and writes its replies to the other. */
     public WireHost(InputStream in, OutputStream out) {
@@ -36,10 +36,10 @@
     }
 
     /** The same; each instance's settings pass through the last argument, with the names of the zones. */
-    public WireHost(InputStream in, OutputStream out, BiConsumer<List<String>, Settings> amend) {
-        this.line = new Line(in);
+    public WireHost(InputStream in, OutputStream out, BiConsumer<List<String>, Settings> adjustSettings) {
+        this.line = new LineReader(in);
         this.out = out;
-        this.amend = amend;
+        this.adjustSettings = adjustSettings;
     }
 
     private final class Instance implements DispatchApi.Actions {
@@ -51,13 +51,13 @@
             this.dispatcher = new Dispatcher(settings, this);
         }
 
-        private StringBuilder action(String word) {
-            return reply.append(word).append(' ').append(number);
+        private StringBuilder appendAction(String verb) {
+            return reply.append(verb).append(' ').append(number);
         }
 
         @Override
         public void send(String id, String worker, long timeout) {
-            action("PLACE")
+            appendAction("PLACE")
                     .append(' ')
                     .append(id)
                     .append(' ')
@@ -69,7 +69,7 @@
 
         @Override
         public void refuse(String id, long retryAfter) {
-            action("REJECT")
+            appendAction("REJECT")
                     .append(' ')
                     .append(id)
                     .append(' ')
@@ -79,22 +79,22 @@
 
         @Override
         public void fail(String id) {
-            action("ABORT").append(' ').append(id).append('\n');
+            appendAction("ABORT").append(' ').append(id).append('\n');
         }
 
         @Override
         public void cancel(String id, int attempt) {
-            action("ABANDON").append(' ').append(id).append(' ').append(attempt).append('\n');
+            appendAction("ABANDON").append(' ').append(id).append(' ').append(attempt).append('\n');
         }
 
         @Override
         public void probe(String worker) {
-            action("PROBE").append(' ').append(worker).append('\n');
+            appendAction("PROBE").append(' ').append(worker).append('\n');
         }
 
         @Override
         public void sendToPeers(byte[] message) {
-            action("SAY")
+            appendAction("SAY")
                     .append(" -1 ")
                     .append(HexFormat.of().formatHex(message))
                     .append('\n');
@@ -102,7 +102,7 @@
 
         @Override
         public void setTimer(long delay, String token) {
-            action("TIMER")
+            appendAction("TIMER")
                     .append(' ')
                     .append(Math.max(1, delay))
                     .append(' ')
@@ -112,24 +112,24 @@
 
         @Override
         public void watchList() {
-            action("WATCH").append(" 1\n");
+            appendAction("WATCH").append(" 1\n");
         }
 
         @Override
         public void log(String text) {
-            action("PRINT").append(' ').append(text.replace('\n', ' ')).append('\n');
+            appendAction("PRINT").append(' ').append(text.replace('\n', ' ')).append('\n');
         }
     }
 
     /** Answers batch after batch until the input ends. */
     public void run() throws IOException {
         while (line.advance()) {
-            String word = line.text("message");
-            if (!word.equals("FRAME")) {
-                throw line.wrong("expected FRAME, found " + word);
+            String verb = line.readText("message");
+            if (!verb.equals("FRAME")) {
+                throw line.error("expected FRAME, found " + verb);
             }
-            now = line.integer("clock");
-            batch();
+            nowMicros = line.readInteger("clock");
+            processBatch();
             reply.append("YIELD\n");
             out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
             out.flush();
@@ -137,16 +137,16 @@
         }
     }
 
-    private void batch() throws IOException {
+    private void processBatch() throws IOException {
         while (true) {
-            need("OVER_TO_YOU");
-            String word = line.text("message");
-            if (word.equals("OVER_TO_YOU")) {
+            requireLine("OVER_TO_YOU");
+            String verb = line.readText("message");
+            if (verb.equals("OVER_TO_YOU")) {
                 return;
             }
-            int number = (int) line.integer("i");
+            int number = (int) line.readInteger("i");
             try {
-                event(word, number);
+                handleMessage(verb, number);
             } catch (WireException e) {
                 throw e;
             } catch (RuntimeException e) {
@@ -160,121 +160,121 @@
         }
     }
 
-    private void need(String what) throws IOException {
+    private void requireLine(String expected) throws IOException {
         if (!line.advance()) {
-            throw line.wrong("the input ends where " + what + " or an entry was due");
+            throw line.error("the input ends where " + expected + " or an entry was due");
         }
     }
 
-    private void event(String word, int number) throws IOException {
-        if (word.equals("ATTACH")) {
-            long seed = line.integer("prng");
-            String conf = line.rest();
-            SettingsReader reader = SettingsReader.of(conf);
+    private void handleMessage(String verb, int number) throws IOException {
+        if (verb.equals("ATTACH")) {
+            long seed = line.readInteger("prng");
+            String settingsText = line.readRest();
+            SettingsReader reader = SettingsReader.of(settingsText);
             Settings settings = reader.toSettings(seed);
-            amend.accept(reader.listItems("zones"), settings);
+            adjustSettings.accept(reader.listItems("zones"), settings);
             Instance instance = new Instance(number, settings);
             instances.put(number, instance);
-            instance.dispatcher.start(now);
+            instance.dispatcher.start(nowMicros);
             return;
         }
         Instance instance = instances.get(number);
         if (instance == null) {
-            throw line.wrong(word + " for instance " + number + ", which was not attached");
+            throw line.error(verb + " for instance " + number + ", which was not attached");
         }
-        DispatchApi to = instance.dispatcher;
-        switch (word) {
+        DispatchApi dispatcher = instance.dispatcher;
+        switch (verb) {
             case "CALL" -> {
-                String id = line.text("txn");
-                double slots = line.decimal("width");
-                line.skip("resource");
-                line.skip("stateBits");
-                line.skip("memNeeded");
-                int tenant = (int) line.integer("customer"), type = (int) line.integer("category");
-                double hint = line.decimal("workHint");
-                to.request(now, new Request(id, type, tenant, slots > 0 ? slots : 1, hint, line.integer("ttl")));
+                String id = line.readText("txn");
+                double slots = line.readDecimal("width");
+                line.skipField("resource");
+                line.skipField("stateBits");
+                line.skipField("memNeeded");
+                int tenant = (int) line.readInteger("customer"), jobClass = (int) line.readInteger("category");
+                double workHint = line.readDecimal("workHint");
+                dispatcher.request(nowMicros, new Request(id, jobClass, tenant, slots > 0 ? slots : 1, workHint, line.readInteger("ttl")));
             }
             case "VERDICT" -> {
-                String id = line.text("txn");
-                int attempt = (int) line.integer("try");
-                line.skip("detail");
-                boolean closed = line.integer("closed") == 1;
-                Status status = status(line.text("code"));
-                long latency = line.integer("lag");
-                line.skip("executor");
-                to.outcome(now, id, attempt, closed, status, latency, load());
+                String id = line.readText("txn");
+                int attempt = (int) line.readInteger("try");
+                line.skipField("detail");
+                boolean closed = line.readInteger("closed") == 1;
+                Status status = parseStatus(line.readText("code"));
+                long latency = line.readInteger("lag");
+                line.skipField("executor");
+                dispatcher.outcome(nowMicros, id, attempt, closed, status, latency, readLoad());
             }
             case "HEARTBEAT" -> {
-                String id = line.text("txn");
-                int attempt = (int) line.integer("try");
-                line.skip("executor");
-                Note note = line.integer("sort") == 1 ? Note.STARTED : Note.PROGRESS;
-                to.note(now, id, attempt, note, line.decimal("amount"));
+                String id = line.readText("txn");
+                int attempt = (int) line.readInteger("try");
+                line.skipField("executor");
+                Note note = line.readInteger("sort") == 1 ? Note.STARTED : Note.PROGRESS;
+                dispatcher.note(nowMicros, id, attempt, note, line.readDecimal("amount"));
             }
-            case "ELAPSED" -> to.timerFired(now, line.text("handle"));
-            case "MEMBERS" -> members(to);
-            case "HANGUP" -> to.clientGone(now, line.text("txn"));
+            case "ELAPSED" -> dispatcher.timerFired(nowMicros, line.readText("handle"));
+            case "MEMBERS" -> readServerList(dispatcher);
+            case "HANGUP" -> dispatcher.clientGone(nowMicros, line.readText("txn"));
             case "PONG" -> {
-                long latency = line.integer("lag");
-                Status status = status(line.text("code"));
-                String worker = line.text("executor");
-                to.probed(now, worker, status, latency, load());
+                long latency = line.readInteger("lag");
+                Status status = parseStatus(line.readText("code"));
+                String worker = line.readText("executor");
+                dispatcher.probed(nowMicros, worker, status, latency, readLoad());
             }
             case "STOP" -> instances.remove(number);
             case "PEER_DATA" -> {
-                int from = (int) line.integer("originPeer");
-                to.peerMessage(now, from, blob(line.text("blob")));
+                int from = (int) line.readInteger("originPeer");
+                dispatcher.peerMessage(nowMicros, from, parseHex(line.readText("blob")));
             }
             case "ACCEPTED" -> {}
-            default -> throw line.wrong("unknown message " + word);
+            default -> throw line.error("unknown message " + verb);
         }
     }
 
-    private byte[] blob(String hex) {
+    private byte[] parseHex(String hex) {
         try {
             return hex.equals("-") ? new byte[0] : HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw line.wrong("the bytes are not hex: " + hex);
+            throw line.error("the bytes are not hex: " + hex);
         }
     }
 
-    private void members(DispatchApi to) throws IOException {
-        String how = line.text("how");
+    private void readServerList(DispatchApi dispatcher) throws IOException {
+        String kindCode = line.readText("how");
         ListKind kind =
-                switch (how) {
+                switch (kindCode) {
                     case "D" -> ListKind.CHANGES;
                     case "F" -> ListKind.WHOLE;
                     case "C" -> ListKind.INITIAL;
                     case "X" -> ListKind.FAILED;
-                    default -> throw line.wrong("unknown list kind " + how);
+                    default -> throw line.error("unknown list kind " + kindCode);
                 };
-        line.skip("seqNo");
-        int count = (int) line.integer("membersList");
+        line.skipField("seqNo");
+        int count = (int) line.readInteger("membersList");
         List<Member> entries = new ArrayList<>();
         for (int k = 0; k < count; k++) {
-            need("M");
-            String mark = line.text("entry");
-            if (!mark.equals("M")) {
-                throw line.wrong("expected M, found " + mark);
+            requireLine("M");
+            String verb = line.readText("entry");
+            if (!verb.equals("M")) {
+                throw line.error("expected M, found " + verb);
             }
-            String word = line.text("health");
+            String healthName = line.readText("health");
             Health health =
-                    switch (word) {
+                    switch (healthName) {
                         case "healthy" -> Health.READY;
                         case "cordoned" -> Health.DRAINING;
                         case "deregistered" -> Health.GONE;
-                        default -> throw line.wrong("unknown health " + word);
+                        default -> throw line.error("unknown health " + healthName);
                     };
-            double rating = line.decimal("rating");
-            int cell = (int) line.integer("unitGroup"), type = (int) line.integer("type");
-            int zone = (int) line.integer("campus");
-            String worker = line.text("executor");
-            entries.add(new Member(worker, health, rating, cell, type, zone, line.integer("born")));
+            double rating = line.readDecimal("rating");
+            int cell = (int) line.readInteger("unitGroup"), serverKind = (int) line.readInteger("type");
+            int zone = (int) line.readInteger("campus");
+            String worker = line.readText("executor");
+            entries.add(new Member(worker, health, rating, cell, serverKind, zone, line.readInteger("born")));
         }
-        to.list(now, kind, entries);
+        dispatcher.list(nowMicros, kind, entries);
     }
 
-    private Status status(String code) {
+    private Status parseStatus(String code) {
         return switch (code) {
             case "Ok" -> Status.OK;
             case "Failed" -> Status.ERROR;
@@ -284,38 +284,38 @@
             case "ResetByPeer" -> Status.RESET;
             case "Canceled" -> Status.CANCELLED;
             case "Ignored" -> Status.NOT_SENT;
-            default -> throw line.wrong("unknown outcome " + code);
+            default -> throw line.error("unknown outcome " + code);
         };
     }
 
-    private Load load() {
-        String report = line.text("report");
+    private Load readLoad() {
+        String report = line.readText("report");
         if (report.equals("-")) {
             return null;
         }
-        double inFlight = Double.NaN, queue = Double.NaN, free = Double.NaN;
-        int from = 0;
-        while (from < report.length()) {
-            int stop = report.indexOf(',', from), colon = report.indexOf(':', from);
-            stop = stop < 0 ? report.length() : stop;
-            if (colon < 0 || colon >= stop) {
-                throw line.wrong("the load report has no value: " + report);
+        double inFlight = Double.NaN, queue = Double.NaN, freeShare = Double.NaN;
+        int itemStart = 0;
+        while (itemStart < report.length()) {
+            int itemEnd = report.indexOf(',', itemStart), colon = report.indexOf(':', itemStart);
+            itemEnd = itemEnd < 0 ? report.length() : itemEnd;
+            if (colon < 0 || colon >= itemEnd) {
+                throw line.error("the load report has no value: " + report);
             }
             double value;
             try {
-                value = Double.parseDouble(report.substring(colon + 1, stop));
+                value = Double.parseDouble(report.substring(colon + 1, itemEnd));
             } catch (NumberFormatException e) {
-                throw line.wrong("the load report is not a number: " + report);
+                throw line.error("the load report is not a number: " + report);
             }
-            String name = report.substring(from, colon);
+            String name = report.substring(itemStart, colon);
             switch (name) {
                 case "inflight" -> inFlight = value;
                 case "queue" -> queue = value;
-                case "x0" -> free = value;
+                case "x0" -> freeShare = value;
                 default -> {}
             }
-            from = stop + 1;
+            itemStart = itemEnd + 1;
         }
-        return new Load(inFlight, queue, free);
+        return new Load(inFlight, queue, freeShare);
     }
 }
--- a/src/test/java/barrowshore/DeployTest.java
+++ b/src/test/java/barrowshore/DeployTest.java
@@ -21,7 +21,7 @@
     private static final Pattern PACKAGE = Pattern.compile("\\bbarrowshore\\.([a-z]+)\\.[A-Z]");
 
     @Test
-    void nodeNamesEveryFolderThatServeRuns() throws IOException {
+    void nodeListsEveryPackageThatServeRuns() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         Matcher node = Pattern.compile("node = \\[(.*)]").matcher(deploy);
         assertThat(node.find()).isTrue();
@@ -30,23 +30,23 @@
                 .toList();
         assertThat(named).allMatch(folder -> Files.isDirectory(Path.of(folder)));
         assertThat(named)
-                .containsAll(reached("node").stream()
+                .containsAll(reachablePackages("node").stream()
                         .map(p -> SOURCES.resolve("barrowshore").resolve(p).toString())
                         .toList());
     }
 
     /** The packages whose classes are named in this one's sources, and in theirs. */
-    private static Set<String> reached(String from) throws IOException {
+    private static Set<String> reachablePackages(String from) throws IOException {
         Set<String> all = new TreeSet<>(Set.of(from));
-        Queue<String> open = new ArrayDeque<>(all);
-        while (!open.isEmpty()) {
-            try (Stream<Path> files = Files.list(SOURCES.resolve("barrowshore").resolve(open.remove()))) {
+        Queue<String> pending = new ArrayDeque<>(all);
+        while (!pending.isEmpty()) {
+            try (Stream<Path> files = Files.list(SOURCES.resolve("barrowshore").resolve(pending.remove()))) {
                 for (Path file :
                         files.filter(f -> f.toString().endsWith(".java")).toList()) {
                     Matcher used = PACKAGE.matcher(Files.readString(file));
                     while (used.find()) {
                         if (all.add(used.group(1))) {
-                            open.add(used.group(1));
+                            pending.add(used.group(1));
                         }
                     }
                 }
--- a/src/test/java/barrowshore/PackageRulesTest.java
+++ b/src/test/java/barrowshore/PackageRulesTest.java
@@ -29,7 +29,7 @@
                 "barrowshore.exchange",
                 "barrowshore.baseline"
             })
-    void whatDecidesTouchesNoSocketsFilesClocksOrThreads(String pure) {
+    void decidingPackagesUseNoSocketsFilesClocksOrThreads(String pure) {
         noClasses()
                 .that()
                 .resideInAPackage(pure)
@@ -68,7 +68,7 @@
 
     /** Addresses are values of the list; what opens, reads or waits for anything is not. */
     @Test
-    void whatTheListIsTouchesNoSocketsFilesOrThreads() {
+    void theListPackageUsesNoSocketsFilesOrThreads() {
         noClasses()
                 .that()
                 .resideInAPackage("barrowshore.list")
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void hallsKnowNothingOfTheModuleThatAsksThem() {
+    void hallsDependOnNoOtherPackage() {
         noClasses()
                 .that()
                 .resideInAPackage("barrowshore.halls")
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void dataFlowsOneWay() {
+    void packagesHaveNoCycles() {
         slices().matching("barrowshore.(*)..").should().beFreeOfCycles().check(ALL);
     }
 }
--- a/src/test/java/barrowshore/config/ChangedConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigReloadTest.java
@@ -18,28 +18,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A configuration that is to take another's place. */
-class ChangedConfigTest {
+class ConfigReloadTest {
     private String text;
-    private Config now;
+    private Config running;
 
     @BeforeEach
     void read() throws IOException {
         text = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("\\$[DS]", "127.0.0.1:9");
-        now = Config.parse(text);
+        running = Config.parse(text);
     }
 
-    private Config next(String what, String with) {
-        assertThat(text).contains(what);
-        return Config.parse(text.replace(what, with)).asReloadOf(now);
+    private Config reload(String part, String replacement) {
+        assertThat(text).contains(part);
+        return Config.parse(text.replace(part, replacement)).asReloadOf(running);
     }
 
     @Test
-    void classesKeepTheirNumbersForLife() {
-        Config without = next("\"menu\"", "\"supper\"");
+    void classesKeepTheirNumbersOverReloads() {
+        Config without = reload("\"menu\"", "\"supper\"");
         assertThat(without.classes()).containsExactly("menu", "order", "supper");
         assertThat(without.acceptedClasses()).containsExactlyInAnyOrder("order", "supper");
-        assertThat(without.settings().classes[0]).isEqualTo(now.settings().classes[0]);
+        assertThat(without.settings().classes[0]).isEqualTo(running.settings().classes[0]);
         Config again = Config.parse(text.replace("at_most_once", "idempotent")).asReloadOf(without);
         assertThat(again.classes()).containsExactly("menu", "order", "supper");
         assertThat(again.acceptedClasses()).containsExactlyInAnyOrder("menu", "order");
@@ -47,29 +47,29 @@
     }
 
     @Test
-    void whatTheRestIsBuiltOnStaysAndIsNamed() {
-        Config next = next("\"groupSize\":1", "\"groupSize\":7");
+    void startupOnlySettingsStayAndAreNamed() {
+        Config next = reload("\"groupSize\":1", "\"groupSize\":7");
         assertThat(next.settings().dispatchers).isEqualTo(1);
-        assertThat(now.fieldsNeedingRestart(Config.parse(text.replace("\"groupSize\":1", "\"groupSize\":7"))))
+        assertThat(running.fieldsNeedingRestart(Config.parse(text.replace("\"groupSize\":1", "\"groupSize\":7"))))
                 .containsExactly("settings.groupSize");
-        assertThat(now.fieldsNeedingRestart(Config.parse(text.replace("\"sendCap\":5", "\"sendCap\":2"))))
+        assertThat(running.fieldsNeedingRestart(Config.parse(text.replace("\"sendCap\":5", "\"sendCap\":2"))))
                 .isEmpty();
     }
 
     @Test
-    void aFileCutOffAtAnyByteIsTurnedDown() {
+    void aFileCutOffAtAnyByteIsRefused() {
         String whole = text.strip();
         for (int k = 0; k < whole.length(); k++) {
             String cut = whole.substring(0, k);
-            assertThatThrownBy(() -> Config.parse(cut).asReloadOf(now)).as(cut).isInstanceOf(ConfigException.class);
+            assertThatThrownBy(() -> Config.parse(cut).asReloadOf(running)).as(cut).isInstanceOf(ConfigException.class);
         }
     }
 
     @Test
-    void aFileShortOfAnyKeyIsTurnedDownAndTheKeyIsNamed() {
+    void aFileLackingAnyKeyIsRefusedAndTheKeyIsNamed() {
         List<String> keys = new ArrayList<>();
         Object whole = Json.parse(text);
-        withoutEach(whole, whole, "", keys);
+        refuseWithoutEachKey(whole, whole, "", keys);
         assertThat(keys)
                 .hasSizeGreaterThan(50)
                 .contains(
@@ -80,29 +80,29 @@
     }
 
     /** Takes each key out of the whole in turn, reads what is left, and puts it back. */
-    private void withoutEach(Object whole, Object part, String path, List<String> keys) {
+    private void refuseWithoutEachKey(Object whole, Object part, String path, List<String> keys) {
         if (part instanceof List<?> list) {
             for (int k = 0; k < list.size(); k++) {
-                withoutEach(whole, list.get(k), path + "." + k, keys);
+                refuseWithoutEachKey(whole, list.get(k), path + "." + k, keys);
             }
         } else if (part instanceof Map<?, ?> map) {
-            for (Map.Entry<?, ?> each : List.copyOf(map.entrySet())) {
+            for (Map.Entry<?, ?> entry : List.copyOf(map.entrySet())) {
                 @SuppressWarnings("unchecked")
-                Map<Object, Object> open = (Map<Object, Object>) map;
-                String at = path.isEmpty() ? "" + each.getKey() : path + "." + each.getKey();
-                open.remove(each.getKey());
-                String left = new JSON().toJSON(whole);
-                if (at.equals("known")) {
-                    Config.parse(left).asReloadOf(now); // only a start needs it
-                } else if (!at.startsWith("known") && !at.startsWith("nobody-knows.this.")) {
-                    keys.add(at);
-                    String last = String.valueOf(each.getKey());
-                    assertThatThrownBy(() -> Config.parse(left).asReloadOf(now), at)
+                Map<Object, Object> mutableMap = (Map<Object, Object>) map;
+                String keyPath = path.isEmpty() ? "" + entry.getKey() : path + "." + entry.getKey();
+                mutableMap.remove(entry.getKey());
+                String remaining = new JSON().toJSON(whole);
+                if (keyPath.equals("known")) {
+                    Config.parse(remaining).asReloadOf(running); // only a start needs it
+                } else if (!keyPath.startsWith("known") && !keyPath.startsWith("nobody-knows.this.")) {
+                    keys.add(keyPath);
+                    String last = String.valueOf(entry.getKey());
+                    assertThatThrownBy(() -> Config.parse(remaining).asReloadOf(running), keyPath)
                             .isInstanceOf(ConfigException.class)
                             .hasMessageContaining(last);
                 }
-                open.put(each.getKey(), each.getValue());
-                withoutEach(whole, each.getValue(), at, keys);
+                mutableMap.put(entry.getKey(), entry.getValue());
+                refuseWithoutEachKey(whole, entry.getValue(), keyPath, keys);
             }
         }
     }
@@ -128,28 +128,28 @@
                 "\"targets\":[{|\"targets\":[7,{|known",
                 "\"settings\":{|\"settings\":7,\"other\":{|settings"
             })
-    void whatCannotBeIsTurnedDownByName(String what, String with, String named) {
-        assertThatThrownBy(() -> next(what, with))
+    void invalidValuesAreRefusedByName(String part, String replacement, String namedField) {
+        assertThatThrownBy(() -> reload(part, replacement))
                 .isInstanceOf(ConfigException.class)
-                .hasMessageContaining(named);
+                .hasMessageContaining(namedField);
     }
 
     @Test
-    void theLargestNumbersAreNumbers() {
-        assertThat(next("\"deadline\":5000000", "\"deadline\":1e300")
+    void hugeNumbersAreAccepted() {
+        assertThat(reload("\"deadline\":5000000", "\"deadline\":1e300")
                         .settings()
                         .classes[0]
                         .deadlineMicros())
                 .isPositive();
-        assertThat(next("\"sendCap\":5", "\"sendCap\":1e300").settings().maxAttempts)
+        assertThat(reload("\"sendCap\":5", "\"sendCap\":1e300").settings().maxAttempts)
                 .isPositive();
     }
 
     @Test
-    void theAddressOfTheEnvironmentCounts() {
-        assertThat(now.withOpsAddress("127.0.0.1:77").ops().getPort()).isEqualTo(77);
-        assertThat(now.withOpsAddress(null).ops().getPort()).isZero();
-        assertThatThrownBy(() -> now.withOpsAddress("77"))
+    void theOpsAddressOfTheEnvironmentOverrides() {
+        assertThat(running.withOpsAddress("127.0.0.1:77").ops().getPort()).isEqualTo(77);
+        assertThat(running.withOpsAddress(null).ops().getPort()).isZero();
+        assertThatThrownBy(() -> running.withOpsAddress("77"))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("GW_OPS");
     }
--- a/src/test/java/barrowshore/config/ConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigTest.java
@@ -14,7 +14,7 @@
 
 /** The configuration: what is read, and that what is wrong is named on one line. */
 class ConfigTest {
-    private static String good() throws IOException {
+    private static String validConfig() throws IOException {
         return Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replace("$S", "127.0.0.1:7")
                 .replace("$D", "127.0.0.1:9");
@@ -22,7 +22,7 @@
 
     @Test
     void readsNestedSettingsAndTheKnownList() throws IOException {
-        Config config = Config.parse(good());
+        Config config = Config.parse(validConfig());
         assertThat(config.settings().seed).isEqualTo(0x8c1f30d27a5be964L);
         assertThat(config.classes()).containsExactly("menu", "order");
         assertThat(config.settings().classes[0].safety()).isEqualTo(RepeatSafety.SAFE);
@@ -54,8 +54,8 @@
             "name":"n0"               | "name":"n0","peer_listen":"127.0.0.1:1","peers":["a"] | peers is not address:port: a
             "name":"n0"               | oops                | configuration is not JSON
             """)
-    void namesWhatIsWrong(String part, String instead, String message) throws IOException {
-        String bad = good().replace(part, instead);
+    void errorsNameTheFieldAndValue(String part, String replacement, String message) throws IOException {
+        String bad = validConfig().replace(part, replacement);
         assertThatThrownBy(() -> Config.parse(bad))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageStartingWith(message)
@@ -64,17 +64,17 @@
     }
 
     @Test
-    void tellsWhatOnlyAStartTakesOver() throws IOException {
-        Config other = Config.parse(good().replace("127.0.0.1:9", "127.0.0.1:10")
+    void listsFieldsThatNeedARestart() throws IOException {
+        Config other = Config.parse(validConfig().replace("127.0.0.1:9", "127.0.0.1:10")
                 .replace("8c1f", "9c1f")
                 .replace("\"rev\":5", "\"rev\":6")
                 .replace("\"sockets\":1024", "\"sockets\":512"));
         assertThat(other.discovery().getPort()).isEqualTo(10);
-        assertThat(Config.parse(good()).fieldsNeedingRestart(other)).containsExactly("limits");
+        assertThat(Config.parse(validConfig()).fieldsNeedingRestart(other)).containsExactly("limits");
     }
 
     @Test
-    void theRehearsalsConfigurationIsGood() throws IOException {
+    void theArchiveScriptsConfigurationIsValid() throws IOException {
         String script = Files.readString(Path.of("deploy/archive.sh"));
         Config config = Config.parse(script.substring(script.indexOf("\n{") + 1, script.indexOf("\nJSON")));
         assertThat(config.knownServers().entries()).hasSize(1);
--- a/src/test/java/barrowshore/files/FileSignerTest.java
+++ b/src/test/java/barrowshore/files/FileSignerTest.java
@@ -26,11 +26,11 @@
     void write() throws IOException {
         bytes = "what do ya want for nothing?".getBytes(StandardCharsets.US_ASCII);
         file = Files.write(dir.resolve("list"), bytes);
-        key("old", "11".repeat(32), "rw-------");
-        key("new", "22".repeat(40), "r--------");
+        writeKey("old", "11".repeat(32), "rw-------");
+        writeKey("new", "22".repeat(40), "r--------");
     }
 
-    private void key(String id, String hex, String permissions) throws IOException {
+    private void writeKey(String id, String hex, String permissions) throws IOException {
         Path key = dir.resolve(id + ".key");
         Files.writeString(key, hex + "\n");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString(permissions));
@@ -50,23 +50,23 @@
     /** The figure was worked out apart: openssl's HMAC of the same bytes and key is what this must be. */
     @Test
     void theMacIsHmacSha256OverTheExactBytes() throws Exception {
-        key("rfc", "0b".repeat(32), "rw-------");
+        writeKey("rfc", "0b".repeat(32), "rw-------");
         new FileSigner(dir).sign(file, List.of("rfc"));
         assertThat(Files.readString(dir.resolve("list.mac")))
                 .isEqualTo("rfc " + "c3f2649c34ea24e4d62a2c7e868bbea0233c9d4c2cc300794db76aa18d6822d8\n");
     }
 
     @Test
-    void whatIsNotGoodIsRefusedWithTheReason() throws IOException {
+    void invalidSignaturesAreRefusedWithTheReason() throws IOException {
         FileSigner macs = new FileSigner(dir);
         assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("list.mac cannot be read");
         macs.sign(file, List.of("old"));
         byte[] other = bytes.clone();
         other[3] ^= 1;
         assertThatThrownBy(() -> macs.verify(file, other)).hasMessageContaining("by key old is not that of the file");
-        key("old", "11".repeat(32), "rw-r-----");
+        writeKey("old", "11".repeat(32), "rw-r-----");
         assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("can be read by others than its owner");
-        key("short", "11", "rw-------");
+        writeKey("short", "11", "rw-------");
         assertThatThrownBy(() -> macs.sign(file, List.of("short"))).hasMessageContaining("shorter than 32 bytes");
         assertThatThrownBy(() -> macs.sign(file, List.of("../x"))).hasMessageContaining("is not a word");
         for (String bad : List.of("", "old", "old zz\n", "old " + "00".repeat(32))) {
--- a/src/test/java/barrowshore/files/ServersFileTest.java
+++ b/src/test/java/barrowshore/files/ServersFileTest.java
@@ -23,7 +23,7 @@
     private static final ServerList.ZoneKindNames NAMES =
             new ServerList.ZoneKindNames(List.of("hala-a", "hala-b"), List.of("plny-vykon", "usporny"));
 
-    private static String good() {
+    private static String validFile() {
         try {
             return Files.readString(Path.of("deploy/servers.xml"));
         } catch (IOException e) {
@@ -36,8 +36,8 @@
     }
 
     @Example
-    void theExampleIsReadWhole() {
-        OperatorServerList file = parse(good());
+    void theExampleIsReadCompletely() {
+        OperatorServerList file = parse(validFile());
         assertThat(file.revision()).isEqualTo(1);
         assertThat(file.grace()).isEqualTo(10_000_000);
         ServerList.Update update = file.toUpdate(NAMES, s -> 42);
@@ -52,8 +52,8 @@
     }
 
     @Example
-    void aWeightOfNothingTakesNothingNew() {
-        assertThat(parse(good().replaceFirst("weight=\"5\"", "weight=\"0\""))
+    void aServerOfWeightZeroGetsNoNewJobs() {
+        assertThat(parse(validFile().replaceFirst("weight=\"5\"", "weight=\"0\""))
                         .toUpdate(NAMES, s -> 0)
                         .entries()
                         .get(0)
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void whatIsWrongIsNamedByLineAndElement() {
+    void errorsNameLineAndElement() {
         String[][] cases = {
             {"10.1.0.19", "10.2.0.19", "line 9, column 90: server: endpoint 10.2.0.19:3000 is in none of the networks"},
             {"fd00:1::21", "fd00:2::21", "endpoint [fd00:2::21]:3000 is in none of the networks"},
@@ -82,8 +82,8 @@
             {"<servers ", "<!DOCTYPE servers [<!ENTITY a \"&b;&b;\">]><servers ", "DOCTYPE is disallowed"},
         };
         for (String[] c : cases) {
-            String bad = good().replaceFirst(java.util.regex.Pattern.quote(c[0]), c[1]);
-            assertThat(bad).isNotEqualTo(good());
+            String bad = validFile().replaceFirst(java.util.regex.Pattern.quote(c[0]), c[1]);
+            assertThat(bad).isNotEqualTo(validFile());
             assertThatThrownBy(() -> parse(bad))
                     .as(c[1])
                     .isInstanceOf(ConfigException.class)
@@ -92,14 +92,14 @@
                     .message()
                     .doesNotContain("\n");
         }
-        assertThatThrownBy(() -> parse(good().replace("hala-b", "hala-z")).toUpdate(NAMES, s -> 0))
+        assertThatThrownBy(() -> parse(validFile().replace("hala-b", "hala-z")).toUpdate(NAMES, s -> 0))
                 .hasMessageContaining("line 10: server: hall hala-z is none of the zones");
     }
 
     @Example
-    void whatTakesTooMuchAwayIsHeldUntilForced() {
-        OperatorServerList inUse = parse(good());
-        String less = good().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
+    void anUpdateThatRemovesTooMuchIsHeldUntilForced() {
+        OperatorServerList inUse = parse(validFile());
+        String less = validFile().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
         assertThat(ServerListChangePolicy.check(inUse, parse(less), 0.5).outcome())
                 .isEqualTo(Outcome.TAKEN);
         assertThat(ServerListChangePolicy.check(inUse, parse(less), 0.3).outcome())
@@ -113,20 +113,20 @@
             assertThat(v.outcome()).isEqualTo(Outcome.HELD);
             assertThat(v.reason()).contains("hall hala-a empty");
         });
-        String none = good().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
+        String none = validFile().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
         assertThat(ServerListChangePolicy.check(inUse, parse(none), 1).outcome())
                 .isEqualTo(Outcome.HELD);
         assertThat(ServerListChangePolicy.check(null, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
     }
 
     @Example
-    void aRevisionNeverGoesBackNorSaysTwoThings() {
-        OperatorServerList two = parse(good().replace("revision=\"1\"", "revision=\"2\""));
-        assertThat(ServerListChangePolicy.check(two, parse(good()), 1).outcome())
+    void revisionsNeverGoBackNorChangeContent() {
+        OperatorServerList two = parse(validFile().replace("revision=\"1\"", "revision=\"2\""));
+        assertThat(ServerListChangePolicy.check(two, parse(validFile()), 1).outcome())
                 .isEqualTo(Outcome.REFUSED);
         assertThat(ServerListChangePolicy.check(two, two, 1).outcome()).isEqualTo(Outcome.SAME);
         OperatorServerList other =
-                parse(good().replace("revision=\"1\"", "revision=\"2\"").replace("weight=\"5\"", "weight=\"4\""));
+                parse(validFile().replace("revision=\"1\"", "revision=\"2\"").replace("weight=\"5\"", "weight=\"4\""));
         assertThat(ServerListChangePolicy.check(two, other, 1).outcome()).isEqualTo(Outcome.REFUSED);
         assertThat(ServerListChangePolicy.diff(two, other))
                 .hasSize(2)
@@ -135,9 +135,9 @@
 
     /** Any damage to a good file: it is read as some whole list, or refused by our own error; nothing else. */
     @Property(tries = 400, seed = "20261201")
-    void damagedFilesAreRefusedOrWhole(@ForAll long seed) {
+    void damagedFilesAreRefusedOrParsed(@ForAll long seed) {
         Random chance = new Random(seed);
-        byte[] bytes = good().getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = validFile().getBytes(StandardCharsets.UTF_8);
         switch (chance.nextInt(3)) {
             case 0 -> bytes = java.util.Arrays.copyOf(bytes, chance.nextInt(bytes.length));
             case 1 -> {
--- a/src/test/java/barrowshore/wire/SettingsReaderTest.java
+++ b/src/test/java/barrowshore/wire/SettingsReaderTest.java
@@ -12,7 +12,7 @@
 class SettingsReaderTest {
     @Test
     void nestedAndFlatGiveTheSameSettings() {
-        Settings flat = SettingsReader.read(
+        Settings flat = SettingsReader.parseSettings(
                 7,
                 "groupSize=2 kinds=big_one,small zones=a,b tick=5000 lanes.count=1 "
                         + "lanes.0.name=menu lanes.0.aim=120000 lanes.0.deadline=5000000 lanes.0.worth=2.0 "
@@ -59,7 +59,7 @@
 
     /** A new site's news is seen, each once however many classes have it; what the pages name is not. */
     @Test
-    void whatNoPageNamesIsTold() {
+    void unknownKeysAreListed() {
         SettingsReader reader = SettingsReader.of(Map.of(
                 "groupSize",
                 2L,
--- a/src/test/java/barrowshore/wire/WireHostTest.java
+++ b/src/test/java/barrowshore/wire/WireHostTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aRequestIsPlacedAndItsEndTaken() throws IOException {
+    void aRequestIsPlacedAndItsOutcomeAccepted() throws IOException {
         String reply = run("FRAME 5\n" + ATTACH + LIST + "CALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n"
                 + "FRAME 9000\nHEARTBEAT 3 rq_1 0 10.0.0.1:1 1 -\n"
                 + "VERDICT 3 rq_1 0 - 1 Ok 8995 10.0.0.1:1 inflight:7,queue:3,x0:0.4\nHANGUP 3 rq_1\nOVER_TO_YOU\n");
@@ -41,38 +41,38 @@
     }
 
     @Test
-    void dispatchersTellOneAnotherWhatTheyHaveInFlight() throws IOException {
+    void dispatchersExchangeTheirSlotsInUse() throws IOException {
         String start = "FRAME 5\n" + ATTACH.replace("tick", "policyLimits.mayTell=true me=1 tick") + LIST;
-        String told = run(start + "CALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n")
+        String message = run(start + "CALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n")
                 .lines()
                 .filter(l -> l.startsWith("SAY 3 -1 "))
                 .findFirst()
                 .orElseThrow()
                 .substring(9);
-        String taken =
+        String chosen =
                 run(start + "CALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n").contains("10.0.0.1:1")
                         ? "10.0.0.1:1"
                         : "10.0.0.2:1";
         // The other one told of 200 slots there in place of one: the next job goes elsewhere. The one entry is a varint
         // of
         // two bytes, whose lowest bit says that a byte with the slots follows (SlotSnapshot).
-        int entry = told.length() - 4;
-        int many = Integer.parseInt(told.substring(entry, entry + 2), 16) | 1;
-        String full = told.substring(0, entry) + Integer.toHexString(many) + told.substring(entry + 2) + "c8";
-        String reply = run(start + "PEER_DATA 3 0 " + full + "\nCALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n");
-        assertTrue(reply.contains("PLACE 3 rq_1 ") && !reply.contains("PLACE 3 rq_1 " + taken), reply);
+        int entry = message.length() - 4;
+        int entryWithSlots = Integer.parseInt(message.substring(entry, entry + 2), 16) | 1;
+        String fullMessage = message.substring(0, entry) + Integer.toHexString(entryWithSlots) + message.substring(entry + 2) + "c8";
+        String reply = run(start + "PEER_DATA 3 0 " + fullMessage + "\nCALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n");
+        assertTrue(reply.contains("PLACE 3 rq_1 ") && !reply.contains("PLACE 3 rq_1 " + chosen), reply);
         assertTrue(run(start + "PEER_DATA 3 0 -\nOVER_TO_YOU\n").endsWith("YIELD\n"), "an empty message is dropped");
     }
 
     @Test
-    void aStoppedInstanceStartsAfreshInTheSameBatch() throws IOException {
+    void aStoppedInstanceRestartsInTheSameBatch() throws IOException {
         String reply = run("FRAME 5\n" + ATTACH + LIST + "STOP 3\n" + ATTACH + "CALL 3 rq_1 1 - 0 - 0 0 - 2000000\n"
                 + "OVER_TO_YOU\n");
         assertTrue(reply.contains("REJECT 3 rq_1"), reply);
     }
 
     @Test
-    void anErrorInTheDecisionsBecomesAnException() throws IOException {
+    void anErrorInTheDispatcherBecomesAnExceptionLine() throws IOException {
         String reply = run("FRAME 5\n" + ATTACH + "CALL 3 rq_1 1 - 0 - 0 7 - 2000000\nOVER_TO_YOU\n");
         assertTrue(reply.contains("EXCEPTION 3 ") && reply.contains("jobClass"), reply);
     }
@@ -93,7 +93,7 @@
                 "FRAME 5~ATTACH~PEER_DATA 3 0 xyz | line 3: the bytes are not hex",
                 "FRAME 5 | the input ends"
             })
-    void whatIsMalformedIsNamedByItsLine(String input, String message) {
+    void malformedInputIsNamedByLine(String input, String message) {
         String text = input.replace("~", "\n").replace("ATTACH\n", ATTACH) + "\n";
         WireException e = assertThrows(WireException.class, () -> run(text));
         assertTrue(e.getMessage().contains(message), e.getMessage());
