--- a/src/main/java/barrowshore/config/Config.java
+++ b/src/main/java/barrowshore/config/Config.java
@@ -19,9 +19,8 @@
 import java.util.TreeSet;
 
 /**
- * What a scheduler is told at its start and again on SIGHUP. It owns the reading of the configuration file and of nothing
- * else: each field is checked here, once, and a wrong one gets a {@link ConfigException} that names it. It must never
- * guess a value that is required, and never open a socket.
+ * The configuration of a scheduler, read at its start and again on SIGHUP. Each field of the file is checked here, once; an
+ * invalid one gets a {@link ConfigException} that names it. Required values have no defaults, and no socket is opened here.
  */
 public record Config(
         String name,
@@ -40,15 +39,20 @@
         Set<String> acceptedClasses,
         Map<String, Object> startupOnly,
         Map<?, ?> raw) {
-    /* grace: microseconds after which nothing new may go to a server that leaves. */
+    /* keepAlive: microseconds after which servers close idle connections; grace: microseconds after which a leaving server
+     * may get nothing new; acceptedClasses: the classes of the current file; startupOnly: the fields that need a restart,
+     * with their values; raw: the parsed file. */
 
-    /** Where we are heard, the peers by their numbers, ours, and the address that reaches them all and us. */
+    /** The address this scheduler receives on, its peers by number, its own number, and the broadcast address. */
     public record PeerConfig(
             InetSocketAddress listen, List<InetSocketAddress> peers, int ownNumber, InetSocketAddress broadcast) {}
 
-    /** The fields that a running scheduler takes over, and those that matter only to a fresh one. */
+    /**
+     * The top-level fields whose changes need no restart: a reload applies them (settings: but for those below), or they
+     * matter only to a new process (known, seed).
+     */
     private static final Set<String> RELOADABLE_FIELDS = Set.of("discovery", "known", "seed", "settings");
-    /** The settings that it does not take over: what the rest is numbered and built by. */
+    /** The settings that a reload cannot change: other state is numbered or built by them. */
     private static final List<String> STARTUP_ONLY_SETTINGS = List.of(
             "groupSize",
             "me",
@@ -59,12 +63,12 @@
             "tier",
             "policyLimits.dialTimeout",
             "policyLimits.keepalive");
-    /** Names of classes that one life of a process knows at most. */
+    /** Limit on the different class names over the reloads of one process: a class keeps its number after its removal. */
     private static final int MAX_CLASS_NAMES = 1000;
 
     /**
-     * The same, but for the operators' address that stands in the environment: it is this process's own, while the file may
-     * be another one's too. Null or empty: there is none.
+     * A copy with the operators' address from the environment variable GW_OPS, which is this process's own, whereas several
+     * processes may share the file. Null or empty: the file's address stays.
      */
     public Config withOpsAddress(String text) {
         return text == null || text.isEmpty()
@@ -88,11 +92,11 @@
                         raw);
     }
 
-    /** The text of a configuration's file. */
+    /** Reads the text of a configuration file. */
     public static String readText(Path file) {
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
-            // It may be in the middle of being replaced: half of each is neither.
+            // Reads until two readings agree: a file that is being replaced may be half old and half new.
             for (int k = 0; k < MAX_REREADS; k++) {
                 String again = Files.readString(file, StandardCharsets.UTF_8);
                 if (again.equals(text)) {
@@ -108,8 +112,8 @@
     }
 
     /**
-     * This one, read later, for a process that goes by the former: classes keep their numbers, and what is built on at a
-     * start stays. A {@link ConfigException} tells why it cannot take the former's place.
+     * This configuration merged into the running one: classes keep their numbers, and startup-only settings stay. A
+     * {@link ConfigException} says why it cannot replace the running one.
      */
     public Config asReloadOf(Config running) {
         Map<Object, Object> requiredKeys = new HashMap<>(running.raw);
@@ -133,7 +137,8 @@
             }
         }
         if (classNames.size() > MAX_CLASS_NAMES) {
-            throw new ConfigException("settings: lanes have had more than " + MAX_CLASS_NAMES + " names since the start");
+            throw new ConfigException(
+                    "settings: lanes have had more than " + MAX_CLASS_NAMES + " names since the start");
         }
         Settings merged = new Settings();
         merged.copyReloadableFrom(running.settings);
@@ -160,9 +165,10 @@
                 raw);
     }
 
-    /** How often a file is read again that changes meanwhile. */
+    /** How often a file that keeps changing is read again. */
     private static final int MAX_REREADS = 5;
 
+    /** Parses a configuration; a {@link ConfigException} names the field that is invalid. */
     public static Config parse(String text) {
         Map<?, ?> root;
         try {
@@ -177,7 +183,7 @@
         Settings settings;
         long keepAlive;
         long grace;
-        long seed = parseSeed(readText(root, "seed"));
+        long seed = parseSeed(requireText(root, "seed"));
         try {
             requireAtLeastOne(reader, "lanes.count", "lanes", 0);
             for (int k = 0; k < reader.itemNames("lanes").size(); k++) {
@@ -215,15 +221,15 @@
                 }
             }
         }
-        Map<String, Object> fixed = new HashMap<>();
-        root.forEach((field, value) -> fixed.put(String.valueOf(field), value));
-        fixed.keySet().removeAll(RELOADABLE_FIELDS);
-        STARTUP_ONLY_SETTINGS.forEach(key -> fixed.put("settings." + key, reader.text(key)));
+        Map<String, Object> startupOnly = new HashMap<>();
+        root.forEach((field, value) -> startupOnly.put(String.valueOf(field), value));
+        startupOnly.keySet().removeAll(RELOADABLE_FIELDS);
+        STARTUP_ONLY_SETTINGS.forEach(key -> startupOnly.put("settings." + key, reader.text(key)));
         return new Config(
-                readText(root, "name"),
-                parseAddress(readText(root, "listen"), "listen"),
-                parseAddress(readText(root, "discovery"), "discovery"),
-                root.get("ops") == null ? null : parseAddress(readText(root, "ops"), "ops"),
+                requireText(root, "name"),
+                parseAddress(requireText(root, "listen"), "listen"),
+                parseAddress(requireText(root, "discovery"), "discovery"),
+                root.get("ops") == null ? null : parseAddress(requireText(root, "ops"), "ops"),
                 sockets,
                 settings,
                 keepAlive,
@@ -234,11 +240,11 @@
                 known,
                 parsePeers(root, settings.ownIndex),
                 Set.copyOf(reader.itemNames("lanes")),
-                fixed,
+                startupOnly,
                 root);
     }
 
-    /** The fields that differ from another configuration's and are taken over only at a start. */
+    /** The fields that differ from another configuration's and take effect only after a restart. */
     public List<String> fieldsNeedingRestart(Config other) {
         Set<String> fields = new TreeSet<>(startupOnly.keySet());
         fields.addAll(other.startupOnly.keySet());
@@ -246,12 +252,12 @@
         return List.copyOf(fields);
     }
 
-    /** The settings that this program has not heard of, and so does not heed. */
+    /** The keys of the settings that this program does not know and ignores. */
     public List<String> unknownSettings() {
         return SettingsReader.of(requireObject(raw.get("settings"), "settings")).unknownKeys();
     }
 
-    /** One line for a person. */
+    /** One line for the log. */
     public String summary() {
         return name + ": listen " + listen + ", discovery " + discovery + ", " + classes.size() + " classes, "
                 + tenants.size() + " tenants, " + knownServers.entries().size() + " known servers";
@@ -259,11 +265,12 @@
 
     private static void requireAtLeastOne(SettingsReader reader, String key, String fieldPath, double defaultValue) {
         if (!(reader.number(key, defaultValue) >= 1)) {
-            throw new IllegalArgumentException(fieldPath + (fieldPath.equals(key) ? " must be over 0" : " names no class"));
+            throw new IllegalArgumentException(
+                    fieldPath + (fieldPath.equals(key) ? " must be over 0" : " names no class"));
         }
     }
 
-    /** Null where schedulers cannot reach one another. */
+    /** Null where schedulers do not exchange messages. */
     private static PeerConfig parsePeers(Map<?, ?> root, int ownNumber) {
         if (root.get("peer_listen") == null) {
             return null;
@@ -275,10 +282,10 @@
                 .map(peer -> parseAddress(String.valueOf(peer), "peers"))
                 .toList();
         return new PeerConfig(
-                parseAddress(readText(root, "peer_listen"), "peer_listen"),
+                parseAddress(requireText(root, "peer_listen"), "peer_listen"),
                 peers,
                 ownNumber,
-                parseAddress(readText(root, "peers_all"), "peers_all"));
+                parseAddress(requireText(root, "peers_all"), "peers_all"));
     }
 
     private static InetSocketAddress parseAddress(String text, String field) {
@@ -297,7 +304,7 @@
         }
     }
 
-    private static String readText(Map<?, ?> map, String field) {
+    private static String requireText(Map<?, ?> map, String field) {
         if (map.get(field) instanceof String s && !s.isEmpty()) {
             return s;
         }
--- a/src/main/java/barrowshore/config/ConfigException.java
+++ b/src/main/java/barrowshore/config/ConfigException.java
@@ -1,6 +1,6 @@
 package barrowshore.config;
 
-/** A configuration that cannot be used; the text names the field and what is wrong with it, on one line. */
+/** A configuration that cannot be used; the message names the field and the error, on one line. */
 public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/barrowshore/config/StructureCheck.java
+++ b/src/main/java/barrowshore/config/StructureCheck.java
@@ -5,22 +5,26 @@
 import java.util.Map;
 
 /**
- * Compares what two configurations consist of, whatever their values: a file that was cut or half written lacks keys that
- * the one in use has. It owns no meaning, and must never object to what is new.
+ * Compares the keys and types of two configurations, not their values: a truncated or half-written file lacks keys that the
+ * running configuration has. Additional keys are accepted.
  */
 final class StructureCheck {
     private StructureCheck() {}
 
-    /** The first key that the later one lacks or has in another form, with what is wrong; null: none. */
+    /** The path of the first key that the candidate lacks or has with another type, and the error; null if none. */
     static String firstMismatch(String path, Object current, Object candidate) {
         if (candidate == null) {
             return path + " is missing";
         }
         if (current instanceof Map<?, ?> map) {
-            return candidate instanceof Map<?, ?> candidateMap ? firstMismatch(path, map, candidateMap) : path + " is not an object";
+            return candidate instanceof Map<?, ?> candidateMap
+                    ? firstMismatch(path, map, candidateMap)
+                    : path + " is not an object";
         }
         if (current instanceof List<?> list) {
-            return candidate instanceof List<?> candidateMap ? firstMismatch(path, list, candidateMap) : path + " is not a list";
+            return candidate instanceof List<?> candidateMap
+                    ? firstMismatch(path, list, candidateMap)
+                    : path + " is not a list";
         }
         if (current instanceof Number && !(candidate instanceof Number)
                 || current instanceof Boolean && !(candidate instanceof Boolean)
@@ -46,7 +50,7 @@
         return null;
     }
 
-    /** Items come and go; each has what all items had. */
+    /** Lists may change in length, but each item must have the keys that all current items share. */
     private static String firstMismatch(String path, List<?> current, List<?> candidate) {
         Map<Object, Object> commonFields = null;
         for (Object item : current) {
--- a/src/main/java/barrowshore/config/XmlFile.java
+++ b/src/main/java/barrowshore/config/XmlFile.java
@@ -27,31 +27,30 @@
 import org.xml.sax.helpers.DefaultHandler;
 
 /**
- * Reads an XML file by a schema into plain elements that know where they stood, so that what the schema cannot say can
- * still be refused by line, column and element. It owns the limits on what is read: no DTD, no external entity, 1 MiB.
- * It must never give out a file that its schema does not take.
+ * Reads and validates an XML file by a schema into elements that keep their line and column, so that checks beyond the
+ * schema can name the place of an error. Refuses DTDs, external entities and files over a size limit (by default 1 MiB).
  */
 public final class XmlFile {
-    /** The largest file read. */
+    /** The default limit on a file's size. */
     public static final int MAX_BYTES = 1 << 20;
 
     private static final String DISALLOW_DOCTYPE_FEATURE = "http://apache.org/xml/features/disallow-doctype-decl";
 
     private XmlFile() {}
 
-    /** One element, with the schema's defaults among its attributes. */
+    /** An element; its attributes include the schema's defaults. */
     public record Element(String name, Map<String, String> attributes, List<Element> children, int line, int column) {
-        /** The attribute's text; null if it is not there and has no default. */
+        /** The attribute's text; null if it is absent and has no default. */
         public String get(String attribute) {
             return attributes.get(attribute);
         }
 
-        /** A number that the schema has checked. */
+        /** A numeric attribute; the schema has checked its form. */
         public double number(String attribute) {
             return Double.parseDouble(get(attribute));
         }
 
-        /** A time that the schema has checked, such as 500ms, in microseconds; 0 if it is not there. */
+        /** A duration such as 500ms, in microseconds, 0 if it is absent; the schema has checked its form. */
         public long micros(String attribute) {
             String text = get(attribute);
             if (text == null) {
@@ -70,12 +69,12 @@
                     };
         }
 
-        /** The children of a name. */
+        /** The children with the given name. */
         public List<Element> childrenNamed(String child) {
             return children.stream().filter(e -> e.name.equals(child)).toList();
         }
 
-        /** The first child of a name; null if there is none. */
+        /** The first child with the given name; null if there is none. */
         public Element firstChildNamed(String child) {
             return children.stream()
                     .filter(e -> e.name.equals(child))
@@ -83,7 +82,7 @@
                     .orElse(null);
         }
 
-        /** What is wrong with this element. */
+        /** An exception that names the file, this element, its place, and the error. */
         public ConfigException error(String file, String message) {
             return new ConfigException(location(file, line, column) + ": " + name + ": " + message);
         }
@@ -93,12 +92,12 @@
         return file + ": line " + line + ", column " + column;
     }
 
-    /** Reads a file; a {@link ConfigException} says on one line what is wrong, and where. */
+    /** Reads a file of at most {@link #MAX_BYTES}; a {@link ConfigException} says on one line what is wrong, and where. */
     public static Element read(Path file, Class<?> owner, String schema) {
         return read(file, owner, schema, MAX_BYTES);
     }
 
-    /** The same, for a file of at most so many bytes. */
+    /** The same, for a file of at most maxBytes. */
     public static Element read(Path file, Class<?> owner, String schema, int maxBytes) {
         byte[] bytes;
         try (InputStream in = Files.newInputStream(file)) {
@@ -109,12 +108,12 @@
         return read(file.toString(), bytes, owner, schema, maxBytes);
     }
 
-    /** Reads bytes that came from a file of that name by the schema that is a resource beside the owner. */
+    /** Parses the content of the named file; the schema is a resource in the package of the owner. */
     public static Element read(String file, byte[] bytes, Class<?> owner, String schema) {
         return read(file, bytes, owner, schema, MAX_BYTES);
     }
 
-    /** The same, for at most so many bytes. */
+    /** The same, for at most maxBytes. */
     public static Element read(String file, byte[] bytes, Class<?> owner, String schema, int maxBytes) {
         if (bytes.length > maxBytes) {
             throw new ConfigException(file + " is over " + maxBytes + " bytes");
@@ -153,12 +152,13 @@
         }
     }
 
-    /** The tag that a place stands in or right behind; the parser tells of errors before it tells of the element. */
+    /** The name of the tag at or before a place: the parser reports an error before it reports the element. */
     private static String enclosingTag(byte[] bytes, int line, int column) {
         String[] lines = new String(bytes, StandardCharsets.UTF_8).split("\n", -1);
         StringBuilder textBefore = new StringBuilder();
         for (int k = Math.max(0, line - 20); k < Math.min(line, lines.length); k++) {
-            textBefore.append(
+            textBefore
+                    .append(
                             k < line - 1
                                     ? lines[k]
                                     : lines[k].substring(0, Math.max(0, Math.min(column - 1, lines[k].length()))))
@@ -169,7 +169,7 @@
         return tagStart >= 0 && name.find(tagStart) ? name.group(1) + ": " : "";
     }
 
-    /** The parser's own message without its code; the code is of use to nobody who edits a file. */
+    /** The parser's message on one line, without its error code and namespaces, which don't help to correct a file. */
     private static String simplifyMessage(String message) {
         return String.valueOf(message)
                 .replaceFirst("^[A-Za-z0-9.-]+: ", "")
@@ -178,7 +178,7 @@
                 .replaceAll("'\\{([A-Za-z-]+)}'", "$1");
     }
 
-    /** Collects the elements; anything that the schema or the parser does not like ends the reading. */
+    /** Builds the tree of elements; the first error of the parser or the schema ends the reading. */
     private static final class ElementHandler extends DefaultHandler {
         private final String file;
         private final Deque<Element> openElements = new ArrayDeque<>();
@@ -198,7 +198,9 @@
         public void startElement(String uri, String local, String qualified, Attributes parsedAttributes) {
             Map<String, String> attributes = new HashMap<>();
             for (int k = 0; k < parsedAttributes.getLength(); k++) {
-                attributes.put(parsedAttributes.getLocalName(k), parsedAttributes.getValue(k).strip());
+                attributes.put(
+                        parsedAttributes.getLocalName(k),
+                        parsedAttributes.getValue(k).strip());
             }
             Element element = new Element(
                     local, attributes, new ArrayList<>(), locator.getLineNumber(), locator.getColumnNumber());
--- a/src/main/java/barrowshore/files/FileSigner.java
+++ b/src/main/java/barrowshore/files/FileSigner.java
@@ -18,14 +18,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keyed MAC beside a file: HMAC-SHA-256 over its exact bytes, in {@code FILE.mac}, a line "key-id hex" for each key,
- * of which one good one is enough, so that two keys overlap while they are changed. It owns the reading of keys, anew
- * each time, and must never use one that others than its owner can read.
+ * Signs and verifies files by HMAC-SHA-256 over their bytes. {@code FILE.mac} has a line "key-id hex" for each key; one
+ * valid line is enough, so that two keys can be in use while keys are rotated. Keys are read from their files each time; one
+ * that group or others may access is not used.
  */
 public final class FileSigner {
     private static final String ALGORITHM = "HmacSHA256";
     private static final Pattern KEY_ID = Pattern.compile("[0-9A-Za-z._-]{1,32}");
-    /** Bytes of a key at least, and of a MAC file at most. */
     private static final int MIN_KEY_BYTES = 32;
 
     private static final int MAX_MAC_FILE_BYTES = 4096;
@@ -39,7 +38,7 @@
 
     private final Path keyDirectory;
 
-    /** MACs by the keys in a directory: a file {@code ID.key} for each, in hexadecimal. */
+    /** A signer with the keys of a directory: a file {@code ID.key} for each, in hexadecimal. */
     public FileSigner(Path keyDirectory) {
         this.keyDirectory = keyDirectory;
     }
@@ -80,7 +79,7 @@
         }
     }
 
-    /** Writes the MACs of a file by these keys beside it, whole. */
+    /** Writes {@code FILE.mac} with a MAC by each of the keys; the file is replaced atomically. */
     public void sign(Path file, List<String> keyIds) {
         try {
             byte[] bytes = Files.readAllBytes(file);
@@ -93,14 +92,15 @@
             }
             Path temporaryFile = file.resolveSibling(file.getFileName() + ".mac.new");
             Files.writeString(temporaryFile, lines);
-            Files.move(temporaryFile, macFile(file), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    temporaryFile, macFile(file), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             throw new ConfigException(
                     file + " cannot be signed: " + e.getClass().getSimpleName());
         }
     }
 
-    /** Checks what was read of a file against the MACs beside it; a {@link ConfigException} says why none is good. */
+    /** Checks a file's content against {@code FILE.mac}; a {@link ConfigException} says why no MAC is valid. */
     public void verify(Path file, byte[] bytes) {
         String text;
         try {
@@ -120,7 +120,8 @@
                 continue;
             }
             try {
-                if (MessageDigest.isEqual(computeMac(words[0], bytes), HexFormat.of().parseHex(words[1]))) {
+                if (MessageDigest.isEqual(
+                        computeMac(words[0], bytes), HexFormat.of().parseHex(words[1]))) {
                     return;
                 }
                 reason = "its MAC by key " + words[0] + " is not that of the file";
--- a/src/main/java/barrowshore/files/ServersFile.java
+++ b/src/main/java/barrowshore/files/ServersFile.java
@@ -19,13 +19,13 @@
 import java.util.Map;
 
 /**
- * Reads a list of servers that operators keep in a file, and checks it whole. It owns the reading alone: a file that is
- * wrong in one place is wrong, and says where. It must never look up a name: endpoints are addresses.
+ * Reads and checks a server list that operators maintain in an XML file. One error refuses the whole file and is reported
+ * with its place. Endpoints are IP addresses; host names are refused, so nothing is resolved here.
  */
 public final class ServersFile {
-    /** The largest file read: 10,000 servers are 1.5 MB. */
+    /** The limit on a file's size: 10,000 servers take 1.5 MB. */
     public static final int MAX_BYTES = 8 << 20;
-    /** The most servers in a file. */
+    /** The limit on the servers in a file. */
     public static final int MAX_SERVERS = 20_000;
 
     private ServersFile() {}
@@ -35,7 +35,7 @@
         return toServerList(file.toString(), XmlFile.read(file, ServersFile.class, "servers.xsd", MAX_BYTES));
     }
 
-    /** Reads bytes as the file of that name. */
+    /** Parses the content of the named file. */
     public static OperatorServerList parse(String file, byte[] bytes) {
         return toServerList(file, XmlFile.read(file, bytes, ServersFile.class, "servers.xsd", MAX_BYTES));
     }
@@ -73,7 +73,8 @@
             if (earlier != null) {
                 throw e.error(
                         file,
-                        "endpoint " + e.get("endpoint") + " is that of " + earlier.uid() + " in line " + earlier.line());
+                        "endpoint " + e.get("endpoint") + " is that of " + earlier.uid() + " in line "
+                                + earlier.line());
             }
         }
         return new OperatorServerList(
@@ -95,7 +96,8 @@
         }
     }
 
-    private static Server parseServer(String file, Element element, IPv4AddressTrie ipv4Networks, IPv6AddressTrie ipv6Networks) {
+    private static Server parseServer(
+            String file, Element element, IPv4AddressTrie ipv4Networks, IPv6AddressTrie ipv6Networks) {
         HostName host = new HostName(element.get("endpoint"));
         if (!host.isValid()
                 || !host.isAddress()
@@ -105,7 +107,9 @@
         }
         IPAddress address = host.asAddress();
         boolean inNetworks = ipv4Networks == null
-                || (address.isIPv4() ? ipv4Networks.elementContains(address.toIPv4()) : ipv6Networks.elementContains(address.toIPv6()));
+                || (address.isIPv4()
+                        ? ipv4Networks.elementContains(address.toIPv4())
+                        : ipv6Networks.elementContains(address.toIPv6()));
         if (!inNetworks) {
             throw element.error(file, "endpoint " + element.get("endpoint") + " is in none of the networks");
         }
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -21,20 +21,20 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A servers' file that is watched. An actor; it owns the directory's watch, the thread that waits on it, the poll behind
- * it, and the file in use. It must never hand on what has not been read twice alike, checked whole and judged; what is in
- * use stays until something better comes, for as long as it takes.
+ * Watches the operators' server list file and applies its changes. An actor; owns the directory's watch with its thread,
+ * the polling timer, and the list in use. A content is applied only after two readings that agree, verification, parsing
+ * and {@link ServerListChangePolicy}; until then the list in use stays, without a time limit.
  *
- * <p>Events get lost, and files are replaced by rename, by a symbolic link that moves, in place, or come back: so events
- * only hasten the next look, and a look compares contents, never times.
+ * <p>File events get lost, and a file may be replaced by rename, by a moved symbolic link, or in place, or be restored. So
+ * events only bring the next inspection forward, and inspections compare contents, not modification times.
  */
 public final class WatchedFile {
     private static final System.Logger LOG = System.getLogger(WatchedFile.class.getName());
-    /** Milliseconds between looks that no event has asked for. */
+    /** The interval of inspections without events. */
     private static final long POLL_MILLIS = 1000;
-    /** How long a content must stand before it is taken for whole. */
+    /** How long a content must stay the same before it counts as completely written. */
     private static final long SETTLE_MILLIS = 50;
-    /** Files taken over at most so often; the latest wins. */
+    /** The least time between two applied lists; the latest content wins. */
     private static final long TAKEOVER_PAUSE_MILLIS = 200;
 
     private final Path file;
@@ -53,9 +53,8 @@
     private String lastMessage = "";
 
     /**
-     * Watches a file from now on. taker: puts a file to use, in this actor's mailbox, and returns what is wrong with it
-     * there, or null. mostLost: see {@link ServerListChangePolicy}; macs: what a file
-     * must be signed by, null: nothing.
+     * Starts watching a file. applyList applies a list, in this actor's mailbox, and returns the error that prevents it, or
+     * null. maxLostShare: see {@link ServerListChangePolicy}; signer: verifies the file, null if it is not signed.
      */
     public WatchedFile(
             Path file,
@@ -69,9 +68,9 @@
         this.signer = signer;
         this.applyList = applyList;
         this.timers = timers;
-        this.mailbox = new Mailbox("the servers' file " + file, pool);
+        this.mailbox = new Mailbox("the server list file " + file, pool);
         this.watchService = startWatch();
-        mailbox.post(this::inspect);
+        mailbox.post(this::checkFile);
         schedulePoll();
     }
 
@@ -89,12 +88,17 @@
             thread.start();
             return service;
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "{0}: no events from its directory, looked at every {1} ms: {2}", file, POLL_MILLIS, e);
+            LOG.log(
+                    Level.WARNING,
+                    "{0}: no file events from its directory, polled every {1} ms instead: {2}",
+                    file,
+                    POLL_MILLIS,
+                    e);
             return null;
         }
     }
 
-    /** Only says that there is something to look at. */
+    /** Waits for file events, each of which only brings the next inspection forward. */
     private void awaitEvents(WatchService service) {
         try {
             while (true) {
@@ -102,7 +106,7 @@
                 key.pollEvents();
                 mailbox.post(this::scheduleInspection);
                 if (!key.reset()) {
-                    return; // the directory is gone; the poll goes on
+                    return; // the directory was removed; polling continues
                 }
             }
         } catch (ClosedWatchServiceException e) {
@@ -116,7 +120,7 @@
         timers.schedule(
                 () -> mailbox.post(() -> {
                     if (!stopped) {
-                        inspect();
+                        checkFile();
                         schedulePoll();
                     }
                 }),
@@ -124,21 +128,21 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** However many events there are, one look is due at a time. */
+    /** Schedules an inspection unless one is due already, so that a burst of events causes one. */
     private void scheduleInspection() {
         if (!inspectionDue && !stopped) {
             inspectionDue = true;
             timers.schedule(
                     () -> mailbox.post(() -> {
                         inspectionDue = false;
-                        inspect();
+                        checkFile();
                     }),
                     SETTLE_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void inspect() {
+    private void checkFile() {
         if (stopped || paused) {
             return;
         }
@@ -152,7 +156,7 @@
         }
         if (!Arrays.equals(content, lastContent)) {
             lastContent = content;
-            scheduleInspection(); // it may be half written: it counts when it has stood
+            scheduleInspection(); // it may be half written: the next inspection must find it unchanged
         } else if (!Arrays.equals(content, checkedContent)) {
             checkedContent = content;
             checkContent(content);
@@ -162,7 +166,7 @@
     private void checkContent(byte[] bytes) {
         try {
             if (signer != null) {
-                checkedContent = null; // its MAC may come after it: it is judged again until there is a good one
+                checkedContent = null; // the MAC file may come later: checked again until one is valid
                 signer.verify(file, bytes);
                 checkedContent = bytes;
             }
@@ -172,38 +176,39 @@
                 case TAKEN -> takeOver(next);
                 case SAME -> inUse = next;
                 case HELD, REFUSED -> logOnce(
-                        Level.WARNING, "revision " + next.revision() + " is not taken: " + decision.reason() + inUseText());
+                        Level.WARNING,
+                        "revision " + next.revision() + " is not applied: " + decision.reason() + inUseText());
                 default -> throw new IllegalStateException("no such outcome: " + decision.outcome());
             }
         } catch (ConfigException e) {
-            logOnce(Level.WARNING, "left unused: " + e.getMessage() + inUseText());
+            logOnce(Level.WARNING, "not applied: " + e.getMessage() + inUseText());
         }
     }
 
     private void takeOver(OperatorServerList next) {
         RuntimeException error = applyList.apply(next);
         if (error != null) {
-            logOnce(Level.WARNING, "left unused: " + error.getMessage() + inUseText());
+            logOnce(Level.WARNING, "not applied: " + error.getMessage() + inUseText());
             return;
         }
         inUse = next;
         lastMessage = "";
-        LOG.log(Level.INFO, "{0}: taken, {1}", file, next.summary());
+        LOG.log(Level.INFO, "{0}: applied, {1}", file, next.summary());
         paused = true;
         timers.schedule(
                 () -> mailbox.post(() -> {
                     paused = false;
-                    inspect();
+                    checkFile();
                 }),
                 TAKEOVER_PAUSE_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     private String inUseText() {
-        return inUse == null ? "; none is in use" : "; revision " + inUse.revision() + " stays in use";
+        return inUse == null ? "; no list is in use" : "; revision " + inUse.revision() + " stays in use";
     }
 
-    /** Once for each thing to say: a file that stays broken is not news every second. */
+    /** Logs a message unless it repeats the last one: a file that stays invalid is inspected every second. */
     private void logOnce(Level level, String text) {
         if (!text.equals(lastMessage)) {
             lastMessage = text;
@@ -211,19 +216,19 @@
         }
     }
 
-    /** Shows the file in use (null: none) to one who only looks. */
+    /** Passes the list in use (null: none) to a reader, in this actor's mailbox. */
     public void inspect(Consumer<OperatorServerList> reader) {
         mailbox.post(() -> reader.accept(inUse));
     }
 
-    /** Stops watching; what is in use stays with whoever took it. */
+    /** Stops watching; a list that was applied stays applied. */
     public void stop() {
         mailbox.post(() -> stopped = true);
         if (watchService != null) {
             try {
                 watchService.close();
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "a watch did not close", e);
+                LOG.log(Level.DEBUG, "the file watch did not close", e);
             }
         }
     }
--- a/src/main/java/barrowshore/wire/Json.java
+++ b/src/main/java/barrowshore/wire/Json.java
@@ -3,11 +3,11 @@
 import java.net.InetSocketAddress;
 import org.eclipse.jetty.util.ajax.JSON;
 
-/** Reads JSON, and the addresses written in it. It owns no meaning: what a field is for, its reader knows. */
+/** Parses JSON text and the addresses in it. */
 public final class Json {
     private Json() {}
 
-    /** Parses JSON with lists as {@link java.util.List}; an IllegalArgumentException tells that it is none. */
+    /** Parses JSON, arrays as {@link java.util.List}; text that is not JSON gets an IllegalArgumentException. */
     public static Object parse(String text) {
         JSON json = new JSON();
         json.setArrayConverter(list -> list);
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Parses JSON; null if it is none. */
+    /** Parses JSON; null if the text is not JSON. */
     public static Object parseOrNull(String text) {
         try {
             return parse(text);
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Reads address:port; an IllegalArgumentException names the field. */
+    /** Parses address:port; an IllegalArgumentException names the field and its text. */
     public static InetSocketAddress parseAddress(String text, String field) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/barrowshore/wire/LineReader.java
+++ b/src/main/java/barrowshore/wire/LineReader.java
@@ -4,7 +4,10 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the wire line by line and a line field by field, without an object for each number. */
+/**
+ * Reads lines of the simulator's protocol from a stream, and the fields of a line, which single spaces separate. Integers
+ * are parsed in the buffer, without allocation. Errors name the line.
+ */
 final class LineReader {
     private final InputStream in;
     private byte[] buffer = new byte[1 << 16];
@@ -54,10 +57,12 @@
         return true;
     }
 
+    /** An exception that names the current line and the error. */
     WireException error(String what) {
         return new WireException("line " + lineNumber + ": " + what);
     }
 
+    /** The index after the current field; a missing or empty field is an error. */
     private int findFieldEnd(String name) {
         if (position > lineEnd || position == lineEnd && name != null) {
             throw error("the field '" + name + "' is missing");
@@ -72,6 +77,7 @@
         return fieldEnd;
     }
 
+    /** Reads a field as text. */
     String readText(String name) {
         int fieldEnd = findFieldEnd(name);
         String value = new String(buffer, position, fieldEnd - position, StandardCharsets.UTF_8);
@@ -79,18 +85,20 @@
         return value;
     }
 
-    /** The rest of the line. */
+    /** Reads the rest of the line. */
     String readRest() {
-        String value = position >= lineEnd ? "" : new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8);
+        String value =
+                position >= lineEnd ? "" : new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8);
         position = lineEnd + 1;
         return value;
     }
 
+    /** Skips a field, which must be there. */
     void skipField(String name) {
         position = findFieldEnd(name) + 1;
     }
 
-    /** An integer; an absent one is 0. */
+    /** Reads an integer; "-" is 0. */
     long readInteger(String name) {
         int fieldEnd = findFieldEnd(name);
         if (fieldEnd - position == 1 && buffer[position] == '-') {
@@ -110,7 +118,7 @@
         return negative ? -value : value;
     }
 
-    /** A number; an absent one is 0. */
+    /** Reads a decimal number; "-" is 0. */
     double readDecimal(String name) {
         String value = readText(name);
         if (value.equals("-")) {
--- a/src/main/java/barrowshore/wire/SettingsReader.java
+++ b/src/main/java/barrowshore/wire/SettingsReader.java
@@ -13,12 +13,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads path=value pairs into settings; unknown keys are skipped, absent ones keep their defaults. The simulator sends
- * the pairs as text, a real scheduler finds them nested in its configuration: {@link #toJson} flattens those into the same
- * pairs, so that both readings end in one place.
+ * Reads path=value pairs into settings; unknown keys are ignored, absent ones keep their defaults. The simulator sends the
+ * pairs as text; a scheduler's configuration has them nested, and they are flattened into the same pairs here, so that both
+ * are read by the same code.
  */
 public final class SettingsReader {
-    /** What the protocol pages name, read here or not; numbers as in {@link #unknownServers}. */
+    /** The keys that the protocol documents, read here or not, with N for list indexes ({@link #unknownKeys}). */
     private static final Set<String> KNOWN_KEYS = Set.of(
             "groupSize",
             "me",
@@ -115,7 +115,7 @@
         flatten("", nested);
     }
 
-    /** A reader of nested settings, as JSON gives them: maps, lists and plain values. */
+    /** A reader of nested settings as parsed from JSON: maps, lists and plain values. */
     public static SettingsReader of(Map<?, ?> nested) {
         return new SettingsReader(nested);
     }
@@ -139,12 +139,12 @@
         }
     }
 
-    /** A name as the pairs have it, without spaces and commas; names from elsewhere are compared in this form. */
+    /** Replaces spaces and commas, the separators, by "_"; names from elsewhere are compared in this form. */
     public static String normalizeName(Object value) {
         return value == null ? "" : value.toString().replaceAll("[ ,]", "_");
     }
 
-    /** The settings that no page names, in order, numbers in their paths as N: news of a new site, not heeded here. */
+    /** The keys that the protocol does not document, sorted, with N for list indexes; they are ignored. */
     public List<String> unknownKeys() {
         return pairs.keySet().stream()
                 .map(key -> key.replaceAll("\\.[0-9]+(?=\\.|$)", ".N"))
@@ -168,7 +168,7 @@
         return names;
     }
 
-    /** A reader of the simulator's text. */
+    /** A reader of the simulator's form: key=value pairs separated by spaces. */
     static SettingsReader of(String pairsText) {
         return new SettingsReader(pairsText);
     }
@@ -177,7 +177,7 @@
         return of(pairsText).toSettings(seed);
     }
 
-    /** The module's settings; a value that cannot be read gets an IllegalArgumentException that names it. */
+    /** The dispatcher's settings; an invalid value gets an IllegalArgumentException that names its key. */
     public Settings toSettings(long seed) {
         Settings settings = new Settings();
         settings.seed = seed;
@@ -238,7 +238,7 @@
         return switch (word) {
             case "idempotent" -> RepeatSafety.SAFE;
             case "deduplicated" -> RepeatSafety.KEYED;
-            default -> RepeatSafety.UNSAFE; // the strictest, for what is not known
+            default -> RepeatSafety.UNSAFE; // the strictest, also for unknown words
         };
     }
 
@@ -250,12 +250,12 @@
         };
     }
 
-    /** What stands under a key, as text; empty where it is absent. */
+    /** The value of a key as text; empty if it is absent. */
     public String text(String key) {
         return pairs.getOrDefault(key, "");
     }
 
-    /** A number, or the other value where the key is absent. */
+    /** The value of a key as a number; the default if it is absent, empty or "-". */
     public double number(String key, double defaultValue) {
         String value = pairs.get(key);
         return value == null || value.isEmpty() || value.equals("-") ? defaultValue : parseNumber(key, value);
--- a/src/main/java/barrowshore/wire/WireException.java
+++ b/src/main/java/barrowshore/wire/WireException.java
@@ -1,6 +1,6 @@
 package barrowshore.wire;
 
-/** A message on the wire that cannot be read; the text names the line and what is wrong with it. */
+/** A line of the simulator's protocol that cannot be read; the message names the line and the error. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/barrowshore/wire/WireHost.java
+++ b/src/main/java/barrowshore/wire/WireHost.java
@@ -21,7 +21,10 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** Hosts many dispatchers on the wire: turns its lines into calls and their actions into lines. Decides nothing. */
+/**
+ * Runs dispatchers for the simulator: turns the lines of its protocol into calls on them, and their actions into reply
+ * lines. An error in a dispatcher becomes an EXCEPTION line; a malformed line ends the run with a {@link WireException}.
+ */
 public final class WireHost {
     private final LineReader line;
     private final OutputStream out;
@@ -35,7 +38,7 @@
         this(in, out, (zones, settings) -> {});
     }
 
-    /** The same; each instance's settings pass through the last argument, with the names of the zones. */
+    /** The same; adjustSettings may change the settings of each new instance, given the names of the zones. */
     public WireHost(InputStream in, OutputStream out, BiConsumer<List<String>, Settings> adjustSettings) {
         this.line = new LineReader(in);
         this.out = out;
@@ -84,7 +87,12 @@
 
         @Override
         public void cancel(String id, int attempt) {
-            appendAction("ABANDON").append(' ').append(id).append(' ').append(attempt).append('\n');
+            appendAction("ABANDON")
+                    .append(' ')
+                    .append(id)
+                    .append(' ')
+                    .append(attempt)
+                    .append('\n');
         }
 
         @Override
@@ -121,7 +129,7 @@
         }
     }
 
-    /** Answers batch after batch until the input ends. */
+    /** Processes batches until the input ends, and writes a reply for each. */
     public void run() throws IOException {
         while (line.advance()) {
             String verb = line.readText("message");
@@ -192,7 +200,9 @@
                 line.skipField("memNeeded");
                 int tenant = (int) line.readInteger("customer"), jobClass = (int) line.readInteger("category");
                 double workHint = line.readDecimal("workHint");
-                dispatcher.request(nowMicros, new Request(id, jobClass, tenant, slots > 0 ? slots : 1, workHint, line.readInteger("ttl")));
+                dispatcher.request(
+                        nowMicros,
+                        new Request(id, jobClass, tenant, slots > 0 ? slots : 1, workHint, line.readInteger("ttl")));
             }
             case "VERDICT" -> {
                 String id = line.readText("txn");
--- a/src/test/java/barrowshore/DeployTest.java
+++ b/src/test/java/barrowshore/DeployTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file names what a scheduler is made of: every package that one reaches is in its node. */
+/** The deploy file's node entry must list the source folder of every package that the scheduler uses. */
 class DeployTest {
     private static final Path SOURCES = Path.of("src/main/java");
     private static final Pattern PACKAGE = Pattern.compile("\\bbarrowshore\\.([a-z]+)\\.[A-Z]");
@@ -35,7 +35,7 @@
                         .toList());
     }
 
-    /** The packages whose classes are named in this one's sources, and in theirs. */
+    /** The packages that a package refers to, directly or through others, found by class names in the sources. */
     private static Set<String> reachablePackages(String from) throws IOException {
         Set<String> all = new TreeSet<>(Set.of(from));
         Queue<String> pending = new ArrayDeque<>(all);
--- a/src/test/java/barrowshore/PackageRulesTest.java
+++ b/src/test/java/barrowshore/PackageRulesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules between packages: what decides is pure, and data requests one way. */
+/** Dependency rules: packages that decide do no I/O, and there are no cycles. */
 class PackageRulesTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -66,7 +66,7 @@
                 .check(ALL);
     }
 
-    /** Addresses are values of the list; what opens, reads or waits for anything is not. */
+    /** The list may hold addresses as values, but must not open, read or wait for anything. */
     @Test
     void theListPackageUsesNoSocketsFilesOrThreads() {
         noClasses()
--- a/src/test/java/barrowshore/config/ConfigReloadTest.java
+++ b/src/test/java/barrowshore/config/ConfigReloadTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A configuration that is to take another's place. */
+/** Reloads: which changes a running configuration accepts, and how it refuses an invalid file. */
 class ConfigReloadTest {
     private String text;
     private Config running;
@@ -61,7 +61,9 @@
         String whole = text.strip();
         for (int k = 0; k < whole.length(); k++) {
             String cut = whole.substring(0, k);
-            assertThatThrownBy(() -> Config.parse(cut).asReloadOf(running)).as(cut).isInstanceOf(ConfigException.class);
+            assertThatThrownBy(() -> Config.parse(cut).asReloadOf(running))
+                    .as(cut)
+                    .isInstanceOf(ConfigException.class);
         }
     }
 
@@ -79,7 +81,7 @@
                         "settings.tenants.0.quotaPerS");
     }
 
-    /** Takes each key out of the whole in turn, reads what is left, and puts it back. */
+    /** Removes each key in turn, checks that the remaining file is refused with the key's name, and restores the key. */
     private void refuseWithoutEachKey(Object whole, Object part, String path, List<String> keys) {
         if (part instanceof List<?> list) {
             for (int k = 0; k < list.size(); k++) {
@@ -93,7 +95,7 @@
                 mutableMap.remove(entry.getKey());
                 String remaining = new JSON().toJSON(whole);
                 if (keyPath.equals("known")) {
-                    Config.parse(remaining).asReloadOf(running); // only a start needs it
+                    Config.parse(remaining).asReloadOf(running); // used only at a start, so a reload may lack it
                 } else if (!keyPath.startsWith("known") && !keyPath.startsWith("nobody-knows.this.")) {
                     keys.add(keyPath);
                     String last = String.valueOf(entry.getKey());
--- a/src/test/java/barrowshore/config/ConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what is read, and that what is wrong is named on one line. */
+/** Parsing of the configuration; an error is named on one line. */
 class ConfigTest {
     private static String validConfig() throws IOException {
         return Files.readString(Path.of("src/test/resources/exchanges/config.json"))
@@ -65,7 +65,8 @@
 
     @Test
     void listsFieldsThatNeedARestart() throws IOException {
-        Config other = Config.parse(validConfig().replace("127.0.0.1:9", "127.0.0.1:10")
+        Config other = Config.parse(validConfig()
+                .replace("127.0.0.1:9", "127.0.0.1:10")
                 .replace("8c1f", "9c1f")
                 .replace("\"rev\":5", "\"rev\":6")
                 .replace("\"sockets\":1024", "\"sockets\":512"));
--- a/src/test/java/barrowshore/files/FileSignerTest.java
+++ b/src/test/java/barrowshore/files/FileSignerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The keyed MAC beside a file. */
+/** Signing files and verifying them. */
 class FileSignerTest {
     @TempDir
     Path dir;
@@ -47,7 +47,7 @@
         assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("new.key cannot be read");
     }
 
-    /** The figure was worked out apart: openssl's HMAC of the same bytes and key is what this must be. */
+    /** The expected value is openssl's HMAC of the same bytes and key. */
     @Test
     void theMacIsHmacSha256OverTheExactBytes() throws Exception {
         writeKey("rfc", "0b".repeat(32), "rw-------");
--- a/src/test/java/barrowshore/files/ServersFileTest.java
+++ b/src/test/java/barrowshore/files/ServersFileTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Lists of servers in files: what they say, what is wrong in them, and what they may change at once. */
+/** Server list files: parsing, error messages, and the limits on changes between revisions. */
 class ServersFileTest {
     private static final ServerList.ZoneKindNames NAMES =
             new ServerList.ZoneKindNames(List.of("hala-a", "hala-b"), List.of("plny-vykon", "usporny"));
@@ -133,7 +133,7 @@
                 .allMatch(line -> line.startsWith("~ ") && line.contains("->"));
     }
 
-    /** Any damage to a good file: it is read as some whole list, or refused by our own error; nothing else. */
+    /** A damaged file is parsed as some complete list or refused by a {@link ConfigException}; no other exception occurs. */
     @Property(tries = 400, seed = "20261201")
     void damagedFilesAreRefusedOrParsed(@ForAll long seed) {
         Random chance = new Random(seed);
--- a/src/test/java/barrowshore/wire/SettingsReaderTest.java
+++ b/src/test/java/barrowshore/wire/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The nested form of a scheduler's configuration and the simulator's pairs are one and the same to the reader. */
+/** The nested settings of a scheduler's configuration and the simulator's pairs give the same result. */
 class SettingsReaderTest {
     @Test
     void nestedAndFlatGiveTheSameSettings() {
@@ -57,7 +57,7 @@
         assertThat(flat.kinds).isEqualTo(2);
     }
 
-    /** A new site's news is seen, each once however many classes have it; what the pages name is not. */
+    /** Undocumented keys are listed, each once however many classes have it; documented ones are not, even if unused. */
     @Test
     void unknownKeysAreListed() {
         SettingsReader reader = SettingsReader.of(Map.of(
--- a/src/test/java/barrowshore/wire/WireHostTest.java
+++ b/src/test/java/barrowshore/wire/WireHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter: batches in, actions out, and plain words on what is malformed. */
+/** The simulator's adapter: batches in, actions out; malformed input is reported by line and field. */
 class WireHostTest {
     private static final String ATTACH = "ATTACH 3 42 groupSize=2 kinds=a,b lanes.count=1 lanes.0.aim=100000"
             + " lanes.0.deadline=2000000 lanes.0.idempotency=idempotent lanes.0.keyScope=all lanes.0.worth=1.0"
@@ -53,13 +53,14 @@
                 run(start + "CALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n").contains("10.0.0.1:1")
                         ? "10.0.0.1:1"
                         : "10.0.0.2:1";
-        // The other one told of 200 slots there in place of one: the next job goes elsewhere. The one entry is a varint
-        // of
-        // two bytes, whose lowest bit says that a byte with the slots follows (SlotSnapshot).
+        // The peer reports 200 slots in use there instead of one, so the next job goes elsewhere. The message has one
+        // entry, a varint of two bytes, whose lowest bit says that a byte with the slots follows (SlotSnapshot).
         int entry = message.length() - 4;
         int entryWithSlots = Integer.parseInt(message.substring(entry, entry + 2), 16) | 1;
-        String fullMessage = message.substring(0, entry) + Integer.toHexString(entryWithSlots) + message.substring(entry + 2) + "c8";
-        String reply = run(start + "PEER_DATA 3 0 " + fullMessage + "\nCALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n");
+        String fullMessage =
+                message.substring(0, entry) + Integer.toHexString(entryWithSlots) + message.substring(entry + 2) + "c8";
+        String reply =
+                run(start + "PEER_DATA 3 0 " + fullMessage + "\nCALL 3 rq_1 1 - 0 - 0 0 - 2000000\nOVER_TO_YOU\n");
         assertTrue(reply.contains("PLACE 3 rq_1 ") && !reply.contains("PLACE 3 rq_1 " + chosen), reply);
         assertTrue(run(start + "PEER_DATA 3 0 -\nOVER_TO_YOU\n").endsWith("YIELD\n"), "an empty message is dropped");
     }
