--- a/src/main/java/barrowshore/config/XmlFile.java
+++ b/src/main/java/barrowshore/config/XmlFile.java
@@ -156,12 +156,13 @@
     private static String enclosingTag(byte[] bytes, int line, int column) {
         String[] lines = new String(bytes, StandardCharsets.UTF_8).split("\n", -1);
         StringBuilder textBefore = new StringBuilder();
-        for (int k = Math.max(0, line - 20); k < Math.min(line, lines.length); k++) {
+        for (int lineIndex = Math.max(0, line - 20); lineIndex < Math.min(line, lines.length); lineIndex++) {
             textBefore
                     .append(
-                            k < line - 1
-                                    ? lines[k]
-                                    : lines[k].substring(0, Math.max(0, Math.min(column - 1, lines[k].length()))))
+                            lineIndex < line - 1
+                                    ? lines[lineIndex]
+                                    : lines[lineIndex].substring(
+                                            0, Math.max(0, Math.min(column - 1, lines[lineIndex].length()))))
                     .append(' ');
         }
         int tagStart = textBefore.lastIndexOf("<");
--- a/src/main/java/barrowshore/files/ServersFile.java
+++ b/src/main/java/barrowshore/files/ServersFile.java
@@ -45,12 +45,12 @@
         IPv6AddressTrie ipv6Networks = new IPv6AddressTrie();
         Element networks = root.firstChildNamed("networks");
         if (networks != null) {
-            for (Element e : networks.children()) {
-                IPAddress block = parseNetwork(file, e);
-                if (block.isIPv4()) {
-                    ipv4Networks.add(block.toIPv4());
+            for (Element element : networks.children()) {
+                IPAddress network = parseNetwork(file, element);
+                if (network.isIPv4()) {
+                    ipv4Networks.add(network.toIPv4());
                 } else {
-                    ipv6Networks.add(block.toIPv6());
+                    ipv6Networks.add(network.toIPv6());
                 }
             }
         }
@@ -60,20 +60,20 @@
         }
         Map<String, Server> servers = new LinkedHashMap<>();
         Map<InetSocketAddress, Server> serversByEndpoint = new HashMap<>();
-        for (Element e : entries) {
-            Server server = parseServer(file, e, networks == null ? null : ipv4Networks, ipv6Networks);
+        for (Element element : entries) {
+            Server server = parseServer(file, element, networks == null ? null : ipv4Networks, ipv6Networks);
             Server earlier = servers.put(server.uid(), server);
             if (earlier != null) {
-                throw e.error(
+                throw element.error(
                         file,
                         "uid " + server.uid() + " is in line " + earlier.line() + " already"
                                 + (earlier.weight() != server.weight() ? ", with another weight" : ""));
             }
             earlier = serversByEndpoint.put(server.endpoint(), server);
             if (earlier != null) {
-                throw e.error(
+                throw element.error(
                         file,
-                        "endpoint " + e.get("endpoint") + " is that of " + earlier.uid() + " in line "
+                        "endpoint " + element.get("endpoint") + " is that of " + earlier.uid() + " in line "
                                 + earlier.line());
             }
         }
@@ -83,14 +83,14 @@
 
     private static IPAddress parseNetwork(String file, Element element) {
         try {
-            IPAddress block = new IPAddressString(element.get("block")).toAddress();
-            if (block == null || block.isMultiple() && !block.isPrefixBlock()) {
+            IPAddress network = new IPAddressString(element.get("block")).toAddress();
+            if (network == null || network.isMultiple() && !network.isPrefixBlock()) {
                 throw element.error(file, element.get("block") + " is no network; its host bits must be 0");
             }
-            if (block.isPrefixed() && !block.isPrefixBlock()) {
+            if (network.isPrefixed() && !network.isPrefixBlock()) {
                 throw element.error(file, element.get("block") + " is no network; its host bits must be 0");
             }
-            return block;
+            return network;
         } catch (AddressStringException cause) {
             throw element.error(file, element.get("block") + " is no network");
         }
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -142,6 +142,7 @@
         }
     }
 
+    /** Reads the file; a content that two readings in a row have found is checked. */
     private void checkFile() {
         if (stopped || paused) {
             return;
@@ -163,6 +164,7 @@
         }
     }
 
+    /** Verifies, parses and applies a content, or logs why the list in use stays. */
     private void checkContent(byte[] bytes) {
         try {
             if (signer != null) {
@@ -170,14 +172,14 @@
                 signer.verify(file, bytes);
                 checkedContent = bytes;
             }
-            OperatorServerList next = ServersFile.parse(file.toString(), bytes);
-            ServerListChangePolicy.Decision decision = ServerListChangePolicy.check(inUse, next, maxLostShare);
+            OperatorServerList candidate = ServersFile.parse(file.toString(), bytes);
+            ServerListChangePolicy.Decision decision = ServerListChangePolicy.check(inUse, candidate, maxLostShare);
             switch (decision.outcome()) {
-                case TAKEN -> takeOver(next);
-                case SAME -> inUse = next;
+                case TAKEN -> takeOver(candidate);
+                case SAME -> inUse = candidate;
                 case HELD, REFUSED -> logOnce(
                         Level.WARNING,
-                        "revision " + next.revision() + " is not applied: " + decision.reason() + inUseText());
+                        "revision " + candidate.revision() + " is not applied: " + decision.reason() + inUseText());
                 default -> throw new IllegalStateException("no such outcome: " + decision.outcome());
             }
         } catch (ConfigException e) {
@@ -185,15 +187,15 @@
         }
     }
 
-    private void takeOver(OperatorServerList next) {
-        RuntimeException error = applyList.apply(next);
+    private void takeOver(OperatorServerList list) {
+        RuntimeException error = applyList.apply(list);
         if (error != null) {
             logOnce(Level.WARNING, "not applied: " + error.getMessage() + inUseText());
             return;
         }
-        inUse = next;
+        inUse = list;
         lastMessage = "";
-        LOG.log(Level.INFO, "{0}: applied, {1}", file, next.summary());
+        LOG.log(Level.INFO, "{0}: applied, {1}", file, list.summary());
         paused = true;
         timers.schedule(
                 () -> mailbox.post(() -> {
--- a/src/main/java/barrowshore/wire/LineReader.java
+++ b/src/main/java/barrowshore/wire/LineReader.java
@@ -13,7 +13,9 @@
     private byte[] buffer = new byte[1 << 16];
     private int filledBytes;
     private int nextLineStart;
+    /** The start of the next field of the current line. */
     private int position;
+
     private int lineEnd;
     private long lineNumber;
 
@@ -21,7 +23,7 @@
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of the input. */
+    /** Moves to the next line; false at the end of the input. The buffer grows to hold the longest line. */
     boolean advance() throws IOException {
         int lineStart = nextLineStart, scan = nextLineStart;
         while (true) {
--- a/src/main/java/barrowshore/wire/WireHost.java
+++ b/src/main/java/barrowshore/wire/WireHost.java
@@ -232,8 +232,8 @@
             }
             case "STOP" -> instances.remove(number);
             case "PEER_DATA" -> {
-                int from = (int) line.readInteger("originPeer");
-                dispatcher.peerMessage(nowMicros, from, parseHex(line.readText("blob")));
+                int senderNumber = (int) line.readInteger("originPeer");
+                dispatcher.peerMessage(nowMicros, senderNumber, parseHex(line.readText("blob")));
             }
             case "ACCEPTED" -> {}
             default -> throw line.error("unknown message " + verb);
@@ -261,7 +261,7 @@
         line.skipField("seqNo");
         int count = (int) line.readInteger("membersList");
         List<Member> entries = new ArrayList<>();
-        for (int k = 0; k < count; k++) {
+        for (int entryIndex = 0; entryIndex < count; entryIndex++) {
             requireLine("M");
             String verb = line.readText("entry");
             if (!verb.equals("M")) {
@@ -303,7 +303,7 @@
         if (report.equals("-")) {
             return null;
         }
-        double inFlight = Double.NaN, queue = Double.NaN, freeShare = Double.NaN;
+        double inFlight = Double.NaN, queue = Double.NaN, freeSlots = Double.NaN;
         int itemStart = 0;
         while (itemStart < report.length()) {
             int itemEnd = report.indexOf(',', itemStart), colon = report.indexOf(':', itemStart);
@@ -321,11 +321,11 @@
             switch (name) {
                 case "inflight" -> inFlight = value;
                 case "queue" -> queue = value;
-                case "x0" -> freeShare = value;
+                case "x0" -> freeSlots = value;
                 default -> {}
             }
             itemStart = itemEnd + 1;
         }
-        return new Load(inFlight, queue, freeShare);
+        return new Load(inFlight, queue, freeSlots);
     }
 }
--- a/src/test/java/barrowshore/DeployTest.java
+++ b/src/test/java/barrowshore/DeployTest.java
@@ -23,13 +23,13 @@
     @Test
     void nodeListsEveryPackageThatServeRuns() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-        Matcher node = Pattern.compile("node = \\[(.*)]").matcher(deploy);
-        assertThat(node.find()).isTrue();
-        List<String> named = Stream.of(node.group(1).split(","))
+        Matcher nodeEntry = Pattern.compile("node = \\[(.*)]").matcher(deploy);
+        assertThat(nodeEntry.find()).isTrue();
+        List<String> listedFolders = Stream.of(nodeEntry.group(1).split(","))
                 .map(n -> n.trim().replace("\"", ""))
                 .toList();
-        assertThat(named).allMatch(folder -> Files.isDirectory(Path.of(folder)));
-        assertThat(named)
+        assertThat(listedFolders).allMatch(folder -> Files.isDirectory(Path.of(folder)));
+        assertThat(listedFolders)
                 .containsAll(reachablePackages("node").stream()
                         .map(p -> SOURCES.resolve("barrowshore").resolve(p).toString())
                         .toList());
@@ -37,21 +37,21 @@
 
     /** The packages that a package refers to, directly or through others, found by class names in the sources. */
     private static Set<String> reachablePackages(String from) throws IOException {
-        Set<String> all = new TreeSet<>(Set.of(from));
-        Queue<String> pending = new ArrayDeque<>(all);
+        Set<String> reachable = new TreeSet<>(Set.of(from));
+        Queue<String> pending = new ArrayDeque<>(reachable);
         while (!pending.isEmpty()) {
             try (Stream<Path> files = Files.list(SOURCES.resolve("barrowshore").resolve(pending.remove()))) {
                 for (Path file :
                         files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                    Matcher used = PACKAGE.matcher(Files.readString(file));
-                    while (used.find()) {
-                        if (all.add(used.group(1))) {
-                            pending.add(used.group(1));
+                    Matcher reference = PACKAGE.matcher(Files.readString(file));
+                    while (reference.find()) {
+                        if (reachable.add(reference.group(1))) {
+                            pending.add(reference.group(1));
                         }
                     }
                 }
             }
         }
-        return all;
+        return reachable;
     }
 }
--- a/src/test/java/barrowshore/PackageRulesTest.java
+++ b/src/test/java/barrowshore/PackageRulesTest.java
@@ -14,7 +14,7 @@
 
 /** Dependency rules: packages that decide do no I/O, and there are no cycles. */
 class PackageRulesTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses MAIN_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("barrowshore");
 
@@ -29,10 +29,10 @@
                 "barrowshore.exchange",
                 "barrowshore.baseline"
             })
-    void decidingPackagesUseNoSocketsFilesClocksOrThreads(String pure) {
+    void decidingPackagesUseNoSocketsFilesClocksOrThreads(String decidingPackage) {
         noClasses()
                 .that()
-                .resideInAPackage(pure)
+                .resideInAPackage(decidingPackage)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -44,26 +44,26 @@
                         "org.eclipse.jetty..",
                         "javax..",
                         "sun..")
-                .check(ALL);
+                .check(MAIN_CLASSES);
         noClasses()
                 .that()
-                .resideInAPackage(pure)
+                .resideInAPackage(decidingPackage)
                 .should()
                 .dependOnClassesThat()
                 .haveNameMatching(
                         "java\\.lang\\.(Thread|ThreadLocal|Process|ProcessBuilder|Runtime)|java\\.util\\.(Timer|Random)"
                                 + "|java\\.io\\.(File.*|InputStream|OutputStream|RandomAccessFile)")
-                .check(ALL);
+                .check(MAIN_CLASSES);
         noClasses()
                 .that()
-                .resideInAPackage(pure)
+                .resideInAPackage(decidingPackage)
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(Math.class, "random")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     /** The list may hold addresses as values, but must not open, read or wait for anything. */
@@ -84,7 +84,7 @@
                         "barrowshore.net..",
                         "barrowshore.config..",
                         "barrowshore.files..")
-                .check(ALL);
+                .check(MAIN_CLASSES);
         noClasses()
                 .that()
                 .resideInAPackage("barrowshore.list")
@@ -92,7 +92,7 @@
                 .dependOnClassesThat()
                 .haveNameMatching(
                         "java\\.net\\.(.*Socket|URL|HttpURLConnection)|java\\.lang\\.(Thread|Process.*|Runtime)")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
@@ -102,11 +102,11 @@
                 .resideInAPackage("barrowshore.halls")
                 .should()
                 .dependOnClassesThat(resideInAPackage("barrowshore..").and(resideOutsideOfPackage("barrowshore.halls")))
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("barrowshore.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("barrowshore.(*)..").should().beFreeOfCycles().check(MAIN_CLASSES);
     }
 }
--- a/src/test/java/barrowshore/config/ConfigReloadTest.java
+++ b/src/test/java/barrowshore/config/ConfigReloadTest.java
@@ -36,14 +36,15 @@
 
     @Test
     void classesKeepTheirNumbersOverReloads() {
-        Config without = reload("\"menu\"", "\"supper\"");
-        assertThat(without.classes()).containsExactly("menu", "order", "supper");
-        assertThat(without.acceptedClasses()).containsExactlyInAnyOrder("order", "supper");
-        assertThat(without.settings().classes[0]).isEqualTo(running.settings().classes[0]);
-        Config again = Config.parse(text.replace("at_most_once", "idempotent")).asReloadOf(without);
-        assertThat(again.classes()).containsExactly("menu", "order", "supper");
-        assertThat(again.acceptedClasses()).containsExactlyInAnyOrder("menu", "order");
-        assertThat(again.settings().classes[1].safety()).isEqualTo(RepeatSafety.SAFE);
+        Config withoutMenu = reload("\"menu\"", "\"supper\"");
+        assertThat(withoutMenu.classes()).containsExactly("menu", "order", "supper");
+        assertThat(withoutMenu.acceptedClasses()).containsExactlyInAnyOrder("order", "supper");
+        assertThat(withoutMenu.settings().classes[0]).isEqualTo(running.settings().classes[0]);
+        Config withMenuAgain =
+                Config.parse(text.replace("at_most_once", "idempotent")).asReloadOf(withoutMenu);
+        assertThat(withMenuAgain.classes()).containsExactly("menu", "order", "supper");
+        assertThat(withMenuAgain.acceptedClasses()).containsExactlyInAnyOrder("menu", "order");
+        assertThat(withMenuAgain.settings().classes[1].safety()).isEqualTo(RepeatSafety.SAFE);
     }
 
     @Test
--- a/src/test/java/barrowshore/files/FileSignerTest.java
+++ b/src/test/java/barrowshore/files/FileSignerTest.java
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void oneGoodKeyIsEnoughSoThatTwoCanOverlap() throws IOException {
-        FileSigner macs = new FileSigner(dir);
-        macs.sign(file, List.of("old", "new"));
-        assertThatCode(() -> macs.verify(file, bytes)).doesNotThrowAnyException();
+    void oneValidKeyIsEnoughDuringKeyRotation() throws IOException {
+        FileSigner signer = new FileSigner(dir);
+        signer.sign(file, List.of("old", "new"));
+        assertThatCode(() -> signer.verify(file, bytes)).doesNotThrowAnyException();
         Files.delete(dir.resolve("old.key"));
-        assertThatCode(() -> macs.verify(file, bytes)).doesNotThrowAnyException();
+        assertThatCode(() -> signer.verify(file, bytes)).doesNotThrowAnyException();
         Files.delete(dir.resolve("new.key"));
-        assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("new.key cannot be read");
+        assertThatThrownBy(() -> signer.verify(file, bytes)).hasMessageContaining("new.key cannot be read");
     }
 
     /** The expected value is openssl's HMAC of the same bytes and key. */
@@ -58,20 +58,22 @@
 
     @Test
     void invalidSignaturesAreRefusedWithTheReason() throws IOException {
-        FileSigner macs = new FileSigner(dir);
-        assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("list.mac cannot be read");
-        macs.sign(file, List.of("old"));
-        byte[] other = bytes.clone();
-        other[3] ^= 1;
-        assertThatThrownBy(() -> macs.verify(file, other)).hasMessageContaining("by key old is not that of the file");
+        FileSigner signer = new FileSigner(dir);
+        assertThatThrownBy(() -> signer.verify(file, bytes)).hasMessageContaining("list.mac cannot be read");
+        signer.sign(file, List.of("old"));
+        byte[] changedBytes = bytes.clone();
+        changedBytes[3] ^= 1;
+        assertThatThrownBy(() -> signer.verify(file, changedBytes))
+                .hasMessageContaining("by key old is not that of the file");
         writeKey("old", "11".repeat(32), "rw-r-----");
-        assertThatThrownBy(() -> macs.verify(file, bytes)).hasMessageContaining("can be read by others than its owner");
+        assertThatThrownBy(() -> signer.verify(file, bytes))
+                .hasMessageContaining("can be read by others than its owner");
         writeKey("short", "11", "rw-------");
-        assertThatThrownBy(() -> macs.sign(file, List.of("short"))).hasMessageContaining("shorter than 32 bytes");
-        assertThatThrownBy(() -> macs.sign(file, List.of("../x"))).hasMessageContaining("is not a word");
+        assertThatThrownBy(() -> signer.sign(file, List.of("short"))).hasMessageContaining("shorter than 32 bytes");
+        assertThatThrownBy(() -> signer.sign(file, List.of("../x"))).hasMessageContaining("is not a word");
         for (String bad : List.of("", "old", "old zz\n", "old " + "00".repeat(32))) {
             Files.writeString(dir.resolve("list.mac"), bad);
-            assertThatThrownBy(() -> macs.verify(file, bytes)).as(bad).hasMessageContaining("list.mac");
+            assertThatThrownBy(() -> signer.verify(file, bytes)).as(bad).hasMessageContaining("list.mac");
         }
     }
 }
--- a/src/test/java/barrowshore/files/ServersFileTest.java
+++ b/src/test/java/barrowshore/files/ServersFileTest.java
@@ -81,14 +81,14 @@
             {"</servers>", "", "line"},
             {"<servers ", "<!DOCTYPE servers [<!ENTITY a \"&b;&b;\">]><servers ", "DOCTYPE is disallowed"},
         };
-        for (String[] c : cases) {
-            String bad = validFile().replaceFirst(java.util.regex.Pattern.quote(c[0]), c[1]);
-            assertThat(bad).isNotEqualTo(validFile());
-            assertThatThrownBy(() -> parse(bad))
-                    .as(c[1])
+        for (String[] testCase : cases) {
+            String invalid = validFile().replaceFirst(java.util.regex.Pattern.quote(testCase[0]), testCase[1]);
+            assertThat(invalid).isNotEqualTo(validFile());
+            assertThatThrownBy(() -> parse(invalid))
+                    .as(testCase[1])
                     .isInstanceOf(ConfigException.class)
                     .hasMessageStartingWith("f: ")
-                    .hasMessageContaining(c[2])
+                    .hasMessageContaining(testCase[2])
                     .message()
                     .doesNotContain("\n");
         }
@@ -99,36 +99,47 @@
     @Example
     void anUpdateThatRemovesTooMuchIsHeldUntilForced() {
         OperatorServerList inUse = parse(validFile());
-        String less = validFile().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
-        assertThat(ServerListChangePolicy.check(inUse, parse(less), 0.5).outcome())
+        String withoutOneServer =
+                validFile().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
+        assertThat(ServerListChangePolicy.check(inUse, parse(withoutOneServer), 0.5)
+                        .outcome())
                 .isEqualTo(Outcome.TAKEN);
-        assertThat(ServerListChangePolicy.check(inUse, parse(less), 0.3).outcome())
+        assertThat(ServerListChangePolicy.check(inUse, parse(withoutOneServer), 0.3)
+                        .outcome())
                 .isEqualTo(Outcome.HELD);
         assertThat(ServerListChangePolicy.check(
-                                inUse, parse(less.replace("revision=\"2\"", "revision=\"3\" force=\"true\"")), 0.3)
+                                inUse,
+                                parse(withoutOneServer.replace("revision=\"2\"", "revision=\"3\" force=\"true\"")),
+                                0.3)
                         .outcome())
                 .isEqualTo(Outcome.TAKEN);
-        String noHall = less.replaceFirst("(?m)^.*s-a2.*\\n", "");
-        assertThat(ServerListChangePolicy.check(inUse, parse(noHall), 1)).satisfies(v -> {
+        String withoutHall = withoutOneServer.replaceFirst("(?m)^.*s-a2.*\\n", "");
+        assertThat(ServerListChangePolicy.check(inUse, parse(withoutHall), 1)).satisfies(v -> {
             assertThat(v.outcome()).isEqualTo(Outcome.HELD);
             assertThat(v.reason()).contains("hall hala-a empty");
         });
-        String none = validFile().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
-        assertThat(ServerListChangePolicy.check(inUse, parse(none), 1).outcome())
+        String withoutServers =
+                validFile().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
+        assertThat(ServerListChangePolicy.check(inUse, parse(withoutServers), 1).outcome())
+                .isEqualTo(Outcome.HELD);
+        assertThat(ServerListChangePolicy.check(null, parse(withoutServers), 1).outcome())
                 .isEqualTo(Outcome.HELD);
-        assertThat(ServerListChangePolicy.check(null, parse(none), 1).outcome()).isEqualTo(Outcome.HELD);
     }
 
     @Example
     void revisionsNeverGoBackNorChangeContent() {
-        OperatorServerList two = parse(validFile().replace("revision=\"1\"", "revision=\"2\""));
-        assertThat(ServerListChangePolicy.check(two, parse(validFile()), 1).outcome())
+        OperatorServerList revisionTwo = parse(validFile().replace("revision=\"1\"", "revision=\"2\""));
+        assertThat(ServerListChangePolicy.check(revisionTwo, parse(validFile()), 1)
+                        .outcome())
                 .isEqualTo(Outcome.REFUSED);
-        assertThat(ServerListChangePolicy.check(two, two, 1).outcome()).isEqualTo(Outcome.SAME);
-        OperatorServerList other =
+        assertThat(ServerListChangePolicy.check(revisionTwo, revisionTwo, 1).outcome())
+                .isEqualTo(Outcome.SAME);
+        OperatorServerList sameRevisionOtherContent =
                 parse(validFile().replace("revision=\"1\"", "revision=\"2\"").replace("weight=\"5\"", "weight=\"4\""));
-        assertThat(ServerListChangePolicy.check(two, other, 1).outcome()).isEqualTo(Outcome.REFUSED);
-        assertThat(ServerListChangePolicy.diff(two, other))
+        assertThat(ServerListChangePolicy.check(revisionTwo, sameRevisionOtherContent, 1)
+                        .outcome())
+                .isEqualTo(Outcome.REFUSED);
+        assertThat(ServerListChangePolicy.diff(revisionTwo, sameRevisionOtherContent))
                 .hasSize(2)
                 .allMatch(line -> line.startsWith("~ ") && line.contains("->"));
     }
@@ -136,17 +147,17 @@
     /** A damaged file is parsed as some complete list or refused by a {@link ConfigException}; no other exception occurs. */
     @Property(tries = 400, seed = "20261201")
     void damagedFilesAreRefusedOrParsed(@ForAll long seed) {
-        Random chance = new Random(seed);
+        Random random = new Random(seed);
         byte[] bytes = validFile().getBytes(StandardCharsets.UTF_8);
-        switch (chance.nextInt(3)) {
-            case 0 -> bytes = java.util.Arrays.copyOf(bytes, chance.nextInt(bytes.length));
+        switch (random.nextInt(3)) {
+            case 0 -> bytes = java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length));
             case 1 -> {
-                for (int k = 0; k <= chance.nextInt(4); k++) {
-                    bytes[chance.nextInt(bytes.length)] = (byte) chance.nextInt(256);
+                for (int k = 0; k <= random.nextInt(4); k++) {
+                    bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                 }
             }
             default -> {
-                int from = chance.nextInt(bytes.length), to = chance.nextInt(bytes.length);
+                int from = random.nextInt(bytes.length), to = random.nextInt(bytes.length);
                 System.arraycopy(bytes, Math.min(from, to), bytes, 0, Math.abs(from - to));
             }
         }
