--- a/src/main/java/barrowshore/fleet/Fleet.java
+++ b/src/main/java/barrowshore/fleet/Fleet.java
@@ -3,9 +3,9 @@
 import barrowshore.config.ConfigException;
 import barrowshore.fleet.FleetScenario.Fault;
 import barrowshore.fleet.Invariants.Answer;
-import barrowshore.fleet.Invariants.Asked;
+import barrowshore.fleet.Invariants.JobRecord;
 import barrowshore.fleet.Invariants.Outage;
-import barrowshore.fleet.Invariants.Worked;
+import barrowshore.fleet.Invariants.WorkerRecord;
 import barrowshore.model.WorkerModel;
 import barrowshore.standin.StandInConfig;
 import barrowshore.standin.StandInDiscovery;
@@ -45,37 +45,38 @@
  */
 public final class Fleet {
     /** Memory that a scheduler needs at most on these runs, MiB, as measured with 60. */
-    private static final int MIB_EACH = 100;
+    private static final int MIB_PER_SCHEDULER = 100;
     /** Starts at once: each keeps a core busy for a second. */
-    private static final int WAVE = Math.max(2, Runtime.getRuntime().availableProcessors());
+    private static final int CONCURRENT_STARTS =
+            Math.max(2, Runtime.getRuntime().availableProcessors());
     /** When a front notices that a scheduler has died or stands still, and that one is ending, milliseconds. */
-    private static final long NOTICES = 1_000, TOLD = 300;
+    private static final long DEATH_NOTICE_MILLIS = 1_000, TERM_NOTICE_MILLIS = 300;
     /** When discovery notices that a worker has died, and until when new work to one that drains may go on. */
-    private static final long GONE = 500, GRACE = 3_000;
+    private static final long WORKER_GONE_MILLIS = 500, DRAIN_GRACE_MILLIS = 3_000;
 
-    private static final int MOST_CONNECTIONS = 15_000;
-    private static final int CORES = 4, MOST_AT_ONCE = 64;
+    private static final int MAX_CONNECTIONS = 15_000;
+    private static final int CORES_PER_WORKER = 4, MAX_FAULT_THREADS = 64;
 
     /** What came of a run: counts by answer, what is broken (empty if nothing), memory and processor time of schedulers. */
     public record Outcome(
-            Map<String, Long> answers, List<String> violations, double mostMemory, double processorSeconds) {}
+            Map<String, Long> answers, List<String> violations, double maxMemoryMib, double processorSeconds) {}
 
     private final FleetScenario scenario;
     private final Path folder;
     private final PrintStream out;
     private final List<String> command;
-    private final ExecutorService pool = Executors.newFixedThreadPool(4, run -> daemon(run, "stand-ins"));
-    private final ScheduledExecutorService faults;
+    private final ExecutorService pool = Executors.newFixedThreadPool(4, task -> daemonThread(task, "stand-ins"));
+    private final ScheduledExecutorService faultTimers;
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final List<SchedulerProcess> instances = new ArrayList<>();
+    private final List<SchedulerProcess> schedulers = new ArrayList<>();
     private final List<StandInDiscovery> discoveries = new ArrayList<>();
     private final List<StandInWorker> workers = new ArrayList<>();
     private final Queue<Outage> outages = new ConcurrentLinkedQueue<>();
-    private final Map<Integer, Long> downSince = new HashMap<>();
-    private final Queue<String> events = new ConcurrentLinkedQueue<>();
-    private final List<Future<?>> under = new ArrayList<>();
-    private StandInListener front;
-    private PeerNetwork hub;
+    private final Map<Integer, Long> downSinceMicros = new HashMap<>();
+    private final Queue<String> eventLines = new ConcurrentLinkedQueue<>();
+    private final List<Future<?>> plannedFaults = new ArrayList<>();
+    private StandInListener listener;
+    private PeerNetwork peerNetwork;
     private long startNanos = System.nanoTime();
 
     private Fleet(FleetScenario scenario, Path folder, Path deploy, PrintStream out) throws IOException {
@@ -83,13 +84,13 @@
         this.folder = folder;
         this.out = out;
         this.command = SchedulerProcess.launchCommand(deploy);
-        this.faults = Executors.newScheduledThreadPool(
-                2 + Math.min(MOST_AT_ONCE, scenario.faults().size()), run -> daemon(run, "faults"));
+        this.faultTimers = Executors.newScheduledThreadPool(
+                2 + Math.min(MAX_FAULT_THREADS, scenario.faults().size()), task -> daemonThread(task, "faults"));
         Files.createDirectories(folder);
     }
 
-    private static Thread daemon(Runnable run, String name) {
-        Thread thread = new Thread(run, name);
+    private static Thread daemonThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
@@ -99,25 +100,26 @@
      * options, or null for none. A {@link ConfigException} says why nothing was started, or which process did not come up.
      */
     public static Outcome run(FleetScenario scenario, Path folder, Path deploy, PrintStream out) throws Exception {
-        long room = available();
-        if ((long) scenario.schedulers() * MIB_EACH > room) {
-            throw new ConfigException(scenario.schedulers() + " schedulers need " + scenario.schedulers() * MIB_EACH
-                    + " MiB and " + room + " MiB are free: nothing was started");
+        long freeMib = availableMib();
+        if ((long) scenario.schedulers() * MIB_PER_SCHEDULER > freeMib) {
+            throw new ConfigException(
+                    scenario.schedulers() + " schedulers need " + scenario.schedulers() * MIB_PER_SCHEDULER
+                            + " MiB and " + freeMib + " MiB are free: nothing was started");
         }
         Fleet fleet = new Fleet(scenario, folder, deploy, out);
         try {
             fleet.start();
             return fleet.run();
         } finally {
-            fleet.end();
+            fleet.stopAll();
         }
     }
 
-    private static long available() {
+    private static long availableMib() {
         try {
-            Matcher free =
+            Matcher memAvailable =
                     Pattern.compile("MemAvailable:\\s+(\\d+) kB").matcher(Files.readString(Path.of("/proc/meminfo")));
-            return free.find() ? Long.parseLong(free.group(1)) / 1024 : Long.MAX_VALUE;
+            return memAvailable.find() ? Long.parseLong(memAvailable.group(1)) / 1024 : Long.MAX_VALUE;
         } catch (IOException e) {
             return Long.MAX_VALUE; // not told here
         }
@@ -125,92 +127,99 @@
 
     private void start() throws Exception {
         timers.start();
-        front = new StandInListener(pool, timers, MOST_CONNECTIONS);
-        hub = new PeerNetwork(scenario.schedulers(), scenario.loss(), scenario.seed());
-        for (int k = 0; k < scenario.schedulers(); k++) {
-            discoveries.add(new StandInDiscovery(front, pool, timers));
+        listener = new StandInListener(pool, timers, MAX_CONNECTIONS);
+        peerNetwork = new PeerNetwork(scenario.schedulers(), scenario.datagramLoss(), scenario.seed());
+        for (int number = 0; number < scenario.schedulers(); number++) {
+            discoveries.add(new StandInDiscovery(listener, pool, timers));
         }
-        for (int w = 0; w < scenario.workers(); w++) {
-            double speed = w % 3 == 0 ? 0.7 : 1;
+        for (int worker = 0; worker < scenario.workers(); worker++) {
+            double speed = worker % 3 == 0 ? 0.7 : 1;
             workers.add(new StandInWorker(
-                    "s-" + w,
+                    "s-" + worker,
                     new WorkerModel.Spec(
-                            CORES, speed, 40, w % 2 == 0, StandInConfig.START_CAPACITY, StandInConfig.WARM_UP_MICROS),
+                            CORES_PER_WORKER,
+                            speed,
+                            40,
+                            worker % 2 == 0,
+                            StandInConfig.START_CAPACITY,
+                            StandInConfig.WARM_UP_MICROS),
                     new WorkerModel.OverloadLimit(
                             StandInConfig.OVERLOAD_MULTIPLE,
                             StandInConfig.OVERLOAD_WINDOW_MICROS,
                             StandInConfig.MEAN_JOB_MICROS),
                     StandInConfig.PROGRESS_INTERVAL_MICROS,
-                    front,
+                    listener,
                     pool,
                     timers));
-            tell(w, "Ready", 0);
+            publishWorker(worker, "Ready", 0);
         }
-        for (int k = 0; k < scenario.schedulers(); k++) {
-            instances.add(new SchedulerProcess(k, folder, command));
+        for (int number = 0; number < scenario.schedulers(); number++) {
+            schedulers.add(new SchedulerProcess(number, folder, command));
         }
-        for (int from = 0; from < instances.size(); from += WAVE) {
-            List<SchedulerProcess> wave = instances.subList(from, Math.min(instances.size(), from + WAVE));
-            for (SchedulerProcess one : wave) {
-                one.start(config(one));
+        for (int from = 0; from < schedulers.size(); from += CONCURRENT_STARTS) {
+            List<SchedulerProcess> wave =
+                    schedulers.subList(from, Math.min(schedulers.size(), from + CONCURRENT_STARTS));
+            for (SchedulerProcess scheduler : wave) {
+                scheduler.start(schedulerConfig(scheduler));
             }
-            for (SchedulerProcess one : wave) {
-                one.awaitReady();
+            for (SchedulerProcess scheduler : wave) {
+                scheduler.awaitReady();
             }
-            out.printf("%d of %d schedulers are ready%n", from + wave.size(), instances.size());
+            out.printf("%d of %d schedulers are ready%n", from + wave.size(), schedulers.size());
         }
     }
 
-    private String config(SchedulerProcess one) throws IOException {
+    private String schedulerConfig(SchedulerProcess scheduler) throws IOException {
         List<String> peers = new ArrayList<>();
-        for (int k = 0; k < scenario.schedulers(); k++) {
-            peers.add(StandInConfig.formatAddress(hub.publicAddress(k)));
+        for (int peer = 0; peer < scenario.schedulers(); peer++) {
+            peers.add(StandInConfig.formatAddress(peerNetwork.publicAddress(peer)));
         }
         return StandInConfig.toJson(
-                "n" + one.number,
-                one.address(),
-                discoveries.get(one.number).address(),
-                one.number,
-                one.number % StandInConfig.HALLS.size(),
-                hub.listenAddress(one.number),
+                "n" + scheduler.number,
+                scheduler.address(),
+                discoveries.get(scheduler.number).address(),
+                scheduler.number,
+                scheduler.number % StandInConfig.HALLS.size(),
+                peerNetwork.listenAddress(scheduler.number),
                 peers,
-                hub.broadcastAddress());
+                peerNetwork.broadcastAddress());
     }
 
-    private void tell(int worker, String state, long boot) {
-        StandInWorker node = workers.get(worker);
-        for (StandInDiscovery each : discoveries) {
-            each.publish(
-                    node.uid(),
-                    node.address(),
+    private void publishWorker(int worker, String state, long bootMillis) {
+        StandInWorker standIn = workers.get(worker);
+        for (StandInDiscovery discovery : discoveries) {
+            discovery.publish(
+                    standIn.uid(),
+                    standIn.address(),
                     StandInConfig.HALLS.get(worker % StandInConfig.HALLS.size()),
                     "usual",
-                    CORES,
+                    CORES_PER_WORKER,
                     state,
-                    boot);
+                    bootMillis);
         }
     }
 
-    private long now() {
+    private long microsSinceStart() {
         return (System.nanoTime() - startNanos) / 1000;
     }
 
     private Outcome run() throws Exception {
         startNanos = System.nanoTime();
-        scenario.faults().forEach(f -> plan(f.at() / 1000, () -> begin(f)));
-        try (Clients clients = new Clients(scenario, instances, startNanos)) {
-            Future<?> watch = faults.scheduleAtFixedRate(() -> progress(clients.asked()), 1, 1, TimeUnit.SECONDS);
-            clients.run();
-            watch.cancel(false);
-            for (Future<?> one : under) {
-                one.get(60, TimeUnit.SECONDS); // a fault that could not be made is a failed run
+        scenario.faults().forEach(fault -> planFault(fault.atMicros() / 1000, () -> inject(fault)));
+        try (LoadGenerator load = new LoadGenerator(scenario, schedulers, startNanos)) {
+            Future<?> progressTimer =
+                    faultTimers.scheduleAtFixedRate(() -> printProgress(load.jobRecords()), 1, 1, TimeUnit.SECONDS);
+            load.sendAllJobs();
+            progressTimer.cancel(false);
+            for (Future<?> planned : plannedFaults) {
+                planned.get(60, TimeUnit.SECONDS); // a fault that could not be made is a failed run
             }
-            return conclude(clients.asked());
+            return stopAndReport(load.jobRecords());
         }
     }
 
-    private void plan(long afterMillis, Step step) {
-        under.add(faults.schedule(
+    private void planFault(long afterMillis, Step step) {
+        plannedFaults.add(faultTimers.schedule(
                 () -> {
                     step.run();
                     return null;
@@ -224,16 +233,16 @@
         void run() throws Exception;
     }
 
-    private void event(String what, Object of) {
+    private void recordEvent(String eventName, Object subject) {
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("at_ms", now() / 1000);
-        line.put("event", what);
-        line.put("of", of);
-        events.add(new JSON().toJSON(line));
+        line.put("at_ms", microsSinceStart() / 1000);
+        line.put("event", eventName);
+        line.put("of", subject);
+        eventLines.add(new JSON().toJSON(line));
     }
 
-    private void after(long millis, Step step) {
-        faults.schedule(
+    private void runLater(long millis, Step step) {
+        faultTimers.schedule(
                 () -> {
                     step.run();
                     return null;
@@ -242,244 +251,259 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void begin(Fault f) throws Exception {
-        event(
-                f.what().name().toLowerCase(Locale.ROOT),
-                f.one() >= 0 ? f.one() : f.others().toString());
-        long lasts = f.lasts() / 1000;
-        switch (f.what()) {
+    private void inject(Fault fault) throws Exception {
+        recordEvent(
+                fault.kind().name().toLowerCase(Locale.ROOT),
+                fault.target() >= 0
+                        ? fault.target()
+                        : fault.isolatedSchedulers().toString());
+        long durationMillis = fault.durationMicros() / 1000;
+        switch (fault.kind()) {
             case KILL -> {
-                synchronized (downSince) {
-                    downSince.put(f.one(), now());
+                synchronized (downSinceMicros) {
+                    downSinceMicros.put(fault.target(), microsSinceStart());
                 }
-                instances.get(f.one()).kill();
-                noticed(instances.get(f.one()), NOTICES);
+                schedulers.get(fault.target()).kill();
+                takeOutOfServiceAfter(schedulers.get(fault.target()), DEATH_NOTICE_MILLIS);
             }
             case TERM -> {
-                instances.get(f.one()).term();
-                noticed(instances.get(f.one()), TOLD);
+                schedulers.get(fault.target()).terminate();
+                takeOutOfServiceAfter(schedulers.get(fault.target()), TERM_NOTICE_MILLIS);
             }
-            case START -> start(f.one());
-            case PAUSE -> pause(f.one(), lasts);
+            case START -> restartScheduler(fault.target());
+            case PAUSE -> pause(fault.target(), durationMillis);
             case PARTITION -> {
-                hub.cut(new HashSet<>(f.others()));
-                Thread.sleep(lasts);
-                hub.cut(new HashSet<>());
-                event("whole again", f.others().toString());
+                peerNetwork.setPartition(new HashSet<>(fault.isolatedSchedulers()));
+                Thread.sleep(durationMillis);
+                peerNetwork.setPartition(new HashSet<>());
+                recordEvent("whole again", fault.isolatedSchedulers().toString());
             }
             case SILENCE -> {
-                discoveries.get(f.one()).setSilent(true);
-                Thread.sleep(lasts);
-                discoveries.get(f.one()).setSilent(false);
-                event("heard again", f.one());
+                discoveries.get(fault.target()).setSilent(true);
+                Thread.sleep(durationMillis);
+                discoveries.get(fault.target()).setSilent(false);
+                recordEvent("heard again", fault.target());
             }
-            case CRASH -> crash(f.one(), lasts);
+            case CRASH -> crash(fault.target(), durationMillis);
             case HANG -> {
-                workers.get(f.one()).setHung(true).join();
-                Thread.sleep(lasts);
-                workers.get(f.one()).setHung(false).join();
+                workers.get(fault.target()).setHung(true).join();
+                Thread.sleep(durationMillis);
+                workers.get(fault.target()).setHung(false).join();
             }
             case SLOW -> {
-                workers.get(f.one()).setSlowdown(f.factor()).join();
-                Thread.sleep(lasts);
-                workers.get(f.one()).setSlowdown(1).join();
+                workers.get(fault.target()).setSlowdown(fault.factor()).join();
+                Thread.sleep(durationMillis);
+                workers.get(fault.target()).setSlowdown(1).join();
             }
             case DRAIN -> {
-                workers.get(f.one()).setDraining(true).join();
-                tell(f.one(), "Terminating", 0);
-                workers.get(f.one()).countJobsAsLateAfter(GRACE + untilHeard(f.at()));
+                workers.get(fault.target()).setDraining(true).join();
+                publishWorker(fault.target(), "Terminating", 0);
+                workers.get(fault.target())
+                        .countJobsAsLateAfter(DRAIN_GRACE_MILLIS + millisUntilAllHearDiscovery(fault.atMicros()));
             }
-            default -> throw new IllegalStateException("nothing begins with " + f.what());
+            default -> throw new IllegalStateException("nothing begins with " + fault.kind());
         }
     }
 
-    private void start(int scheduler) throws Exception {
-        SchedulerProcess instance = instances.get(scheduler);
-        instance.leave();
-        instance.start(config(instance));
-        instance.awaitReady();
+    private void restartScheduler(int scheduler) throws Exception {
+        SchedulerProcess process = schedulers.get(scheduler);
+        process.awaitExit();
+        process.start(schedulerConfig(process));
+        process.awaitReady();
         closeOutage(scheduler);
-        event("ready", scheduler);
+        recordEvent("ready", scheduler);
     }
 
-    private void pause(int scheduler, long lasts) throws Exception {
-        SchedulerProcess instance = instances.get(scheduler);
-        long from = now();
-        instance.signal("STOP");
-        Thread.sleep(Math.min(NOTICES, lasts));
-        instance.inService = false;
-        Thread.sleep(Math.max(0, lasts - NOTICES));
-        instance.signal("CONT");
-        outages.add(new Outage(scheduler, from, now()));
-        instance.inService = true;
-        event("goes on", scheduler);
+    private void pause(int scheduler, long durationMillis) throws Exception {
+        SchedulerProcess process = schedulers.get(scheduler);
+        long pausedAt = microsSinceStart();
+        process.signal("STOP");
+        Thread.sleep(Math.min(DEATH_NOTICE_MILLIS, durationMillis));
+        process.inService = false;
+        Thread.sleep(Math.max(0, durationMillis - DEATH_NOTICE_MILLIS));
+        process.signal("CONT");
+        outages.add(new Outage(scheduler, pausedAt, microsSinceStart()));
+        process.inService = true;
+        recordEvent("goes on", scheduler);
     }
 
-    private void crash(int worker, long lasts) throws Exception {
-        StandInWorker node = workers.get(worker);
-        node.crash().join();
-        Thread.sleep(Math.min(GONE, lasts));
-        tell(worker, "Gone", 0);
-        Thread.sleep(Math.max(0, lasts - GONE));
-        tell(worker, "Ready", node.restart().join());
-        event("back, cold", worker);
+    private void crash(int worker, long durationMillis) throws Exception {
+        StandInWorker standIn = workers.get(worker);
+        standIn.crash().join();
+        Thread.sleep(Math.min(WORKER_GONE_MILLIS, durationMillis));
+        publishWorker(worker, "Gone", 0);
+        Thread.sleep(Math.max(0, durationMillis - WORKER_GONE_MILLIS));
+        publishWorker(worker, "Ready", standIn.restart().join());
+        recordEvent("back, cold", worker);
     }
 
     /** How much longer some scheduler stands still or hears nothing of discovery, at that time of the scenario, in ms. */
-    private long untilHeard(long at) {
+    private long millisUntilAllHearDiscovery(long atMicros) {
         return scenario.faults().stream()
-                .filter(f -> f.what() == FleetScenario.What.PAUSE || f.what() == FleetScenario.What.SILENCE)
-                .filter(f -> f.at() - GRACE * 1000 <= at && f.at() + f.lasts() >= at)
-                .mapToLong(f -> (f.at() + f.lasts() - at) / 1000)
+                .filter(fault -> fault.kind() == FleetScenario.FaultKind.PAUSE
+                        || fault.kind() == FleetScenario.FaultKind.SILENCE)
+                .filter(fault -> fault.atMicros() - DRAIN_GRACE_MILLIS * 1000 <= atMicros
+                        && fault.atMicros() + fault.durationMicros() >= atMicros)
+                .mapToLong(fault -> (fault.atMicros() + fault.durationMicros() - atMicros) / 1000)
                 .max()
                 .orElse(0);
     }
 
     /** The front notices a while later that it is gone, unless it has been started again meanwhile. */
-    private void noticed(SchedulerProcess one, long millis) {
-        int life = one.lives();
-        after(millis, () -> one.inService &= one.lives() != life);
+    private void takeOutOfServiceAfter(SchedulerProcess scheduler, long millis) {
+        int startCount = scheduler.startCount();
+        runLater(millis, () -> scheduler.inService &= scheduler.startCount() != startCount);
     }
 
     private void closeOutage(int scheduler) {
-        synchronized (downSince) {
-            Long since = downSince.remove(scheduler);
+        synchronized (downSinceMicros) {
+            Long since = downSinceMicros.remove(scheduler);
             if (since != null) {
-                outages.add(new Outage(scheduler, since, now()));
+                outages.add(new Outage(scheduler, since, microsSinceStart()));
             }
         }
     }
 
-    private void progress(List<Asked> asked) {
-        out.printf("%3d s  %s%n", now() / 1_000_000, counts(asked));
+    private void printProgress(List<JobRecord> jobs) {
+        out.printf("%3d s  %s%n", microsSinceStart() / 1_000_000, countByAnswer(jobs));
     }
 
-    private static Map<String, Long> counts(List<Asked> asked) {
+    private static Map<String, Long> countByAnswer(List<JobRecord> jobs) {
         Map<String, Long> counts = new LinkedHashMap<>();
         for (Answer answer : Answer.values()) {
             counts.put(
                     answer.name().toLowerCase(Locale.ROOT),
-                    asked.stream().filter(a -> a.answer() == answer).count());
+                    jobs.stream().filter(job -> job.answer() == answer).count());
         }
         return counts;
     }
 
-    private Outcome conclude(List<Asked> asked) throws Exception {
-        double memory = 0, processor = 0;
-        StringBuilder members = new StringBuilder("scheduler,pid,memory_mib,processor_s\n");
-        for (SchedulerProcess one : instances) {
-            if (one.isAlive()) {
-                double[] use = one.use();
-                memory = Math.max(memory, use[0]);
-                processor += use[1];
-                members.append(String.format(Locale.ROOT, "%d,%d,%.1f,%.2f%n", one.number, one.pid(), use[0], use[1]));
+    private Outcome stopAndReport(List<JobRecord> jobs) throws Exception {
+        double maxMemoryMib = 0, processorSeconds = 0;
+        StringBuilder schedulersCsv = new StringBuilder("scheduler,pid,memory_mib,processor_s\n");
+        for (SchedulerProcess scheduler : schedulers) {
+            if (scheduler.isAlive()) {
+                double[] used = scheduler.memoryAndCpu();
+                maxMemoryMib = Math.max(maxMemoryMib, used[0]);
+                processorSeconds += used[1];
+                schedulersCsv.append(String.format(
+                        Locale.ROOT, "%d,%d,%.1f,%.2f%n", scheduler.number, scheduler.pid(), used[0], used[1]));
             }
         }
-        synchronized (downSince) {
-            downSince.forEach((scheduler, since) -> outages.add(new Outage(scheduler, since, Long.MAX_VALUE)));
+        synchronized (downSinceMicros) {
+            downSinceMicros.forEach((scheduler, since) -> outages.add(new Outage(scheduler, since, Long.MAX_VALUE)));
         }
-        List<String> left = new ArrayList<>();
-        for (SchedulerProcess one : instances) {
-            if (!one.isAlive()
+        List<String> processProblems = new ArrayList<>();
+        for (SchedulerProcess scheduler : schedulers) {
+            if (!scheduler.isAlive()
                     && scenario.faults().stream()
-                            .noneMatch(f -> f.one() == one.number
-                                    && (f.what() == FleetScenario.What.KILL || f.what() == FleetScenario.What.TERM))) {
-                left.add("scheduler " + one.number + " ended by itself, see " + one.logFile());
+                            .noneMatch(fault -> fault.target() == scheduler.number
+                                    && (fault.kind() == FleetScenario.FaultKind.KILL
+                                            || fault.kind() == FleetScenario.FaultKind.TERM))) {
+                processProblems.add("scheduler " + scheduler.number + " ended by itself, see " + scheduler.logFile());
             }
-            if (!one.stop()) {
-                left.add("scheduler " + one.number + ", process " + one.pid());
+            if (!scheduler.stop()) {
+                processProblems.add("scheduler " + scheduler.number + ", process " + scheduler.pid());
             }
         }
-        Map<String, Integer> runs = new HashMap<>();
-        List<Worked> worked = new ArrayList<>();
-        for (StandInWorker node : workers) {
-            StandInWorker.Counters count = node.counters().join();
-            count.startsByJobId().forEach((id, times) -> runs.merge(id, times, Integer::sum));
-            worked.add(new Worked(node.uid(), count.lateJobs(), count.failedFromOverload(), count.coldBudgetUsed()));
+        Map<String, Integer> startsByJobId = new HashMap<>();
+        List<WorkerRecord> workerRecords = new ArrayList<>();
+        for (StandInWorker worker : workers) {
+            StandInWorker.Counters counters = worker.counters().join();
+            counters.startsByJobId().forEach((id, starts) -> startsByJobId.merge(id, starts, Integer::sum));
+            workerRecords.add(new WorkerRecord(
+                    worker.uid(), counters.lateJobs(), counters.failedFromOverload(), counters.coldBudgetUsed()));
         }
-        List<String> broken = new ArrayList<>(Invariants.broken(asked, runs, List.copyOf(outages), worked, left));
-        if (hub.tooLong() > 0) {
-            broken.add(hub.tooLong() + " datagrams over 256 bytes");
+        List<String> violations = new ArrayList<>(
+                Invariants.findViolations(jobs, startsByJobId, List.copyOf(outages), workerRecords, processProblems));
+        if (peerNetwork.oversizedCount() > 0) {
+            violations.add(peerNetwork.oversizedCount() + " datagrams over 256 bytes");
         }
-        write(asked, members, broken);
-        out.printf(Locale.ROOT, "%s: %d jobs, %s%n", scenario.name(), asked.size(), counts(asked));
-        for (int type = 0; type < StandInConfig.CLASSES.size(); type++) {
-            Histogram times = new Histogram(60_000_000, 2);
-            boolean unsafe = type == 1;
-            asked.stream()
-                    .filter(a -> a.unsafe() == unsafe && a.answer() == Answer.SERVED)
-                    .forEach(a -> times.recordValue(Math.min(60_000_000, a.answeredAt() - a.sentAt())));
+        writeFiles(jobs, schedulersCsv, violations);
+        out.printf(Locale.ROOT, "%s: %d jobs, %s%n", scenario.name(), jobs.size(), countByAnswer(jobs));
+        for (int classIndex = 0; classIndex < StandInConfig.CLASSES.size(); classIndex++) {
+            Histogram latencies = new Histogram(60_000_000, 2);
+            boolean atMostOnce = classIndex == 1;
+            jobs.stream()
+                    .filter(job -> job.atMostOnce() == atMostOnce && job.answer() == Answer.SERVED)
+                    .forEach(job -> latencies.recordValue(Math.min(60_000_000, job.answeredAt() - job.sentAt())));
             out.printf(
                     Locale.ROOT,
                     "  %-12s p50 %.0f ms, p99 %.0f ms%n",
-                    StandInConfig.CLASSES.get(type),
-                    times.getValueAtPercentile(50) / 1e3,
-                    times.getValueAtPercentile(99) / 1e3);
+                    StandInConfig.CLASSES.get(classIndex),
+                    latencies.getValueAtPercentile(50) / 1e3,
+                    latencies.getValueAtPercentile(99) / 1e3);
         }
         out.printf(
                 Locale.ROOT,
                 "  schedulers: %.0f MiB at most, %.1f s of processor time; cold budget used %.2f at most;"
                         + " datagrams %d, lost %d%n",
-                memory,
-                processor,
-                worked.stream().mapToDouble(Worked::coldUse).max().orElse(0),
-                hub.carried(),
-                hub.lost());
-        broken.forEach(line -> out.println("BROKEN  " + line));
-        out.println(broken.isEmpty() ? "every invariant holds" : broken.size() + " broken; see " + folder);
-        return new Outcome(counts(asked), broken, memory, processor);
+                maxMemoryMib,
+                processorSeconds,
+                workerRecords.stream()
+                        .mapToDouble(WorkerRecord::coldBudgetUsed)
+                        .max()
+                        .orElse(0),
+                peerNetwork.forwardedCount(),
+                peerNetwork.lostCount());
+        violations.forEach(line -> out.println("BROKEN  " + line));
+        out.println(violations.isEmpty() ? "every invariant holds" : violations.size() + " broken; see " + folder);
+        return new Outcome(countByAnswer(jobs), violations, maxMemoryMib, processorSeconds);
     }
 
-    private void write(List<Asked> asked, StringBuilder members, List<String> broken) throws IOException {
-        int seconds = (int) (scenario.length() / 1_000_000) + 1;
-        long[][] figures = new long[seconds + 1][Answer.values().length];
-        for (Asked a : asked) {
-            figures[(int) Math.min(seconds, a.sentAt() / 1_000_000)][a.answer().ordinal()]++;
+    private void writeFiles(List<JobRecord> jobs, StringBuilder schedulersCsv, List<String> violations)
+            throws IOException {
+        int seconds = (int) (scenario.lengthMicros() / 1_000_000) + 1;
+        long[][] countsBySecond = new long[seconds + 1][Answer.values().length];
+        for (JobRecord job : jobs) {
+            countsBySecond[(int) Math.min(seconds, job.sentAt() / 1_000_000)][
+                    job.answer().ordinal()]++;
         }
-        StringBuilder csv = new StringBuilder("second,served,turned_down,failed,refused,none\n");
-        for (int s = 0; s < seconds; s++) {
-            csv.append(s);
-            Arrays.stream(figures[s]).forEach(count -> csv.append(',').append(count));
-            csv.append('\n');
+        StringBuilder figuresCsv = new StringBuilder("second,served,turned_down,failed,refused,none\n");
+        for (int second = 0; second < seconds; second++) {
+            figuresCsv.append(second);
+            Arrays.stream(countsBySecond[second])
+                    .forEach(count -> figuresCsv.append(',').append(count));
+            figuresCsv.append('\n');
         }
-        Files.writeString(folder.resolve("figures.csv"), csv);
-        Files.write(folder.resolve("jobs.csv"), jobs(asked));
-        Files.writeString(folder.resolve("schedulers.csv"), members);
-        events.addAll(broken.stream()
+        Files.writeString(folder.resolve("figures.csv"), figuresCsv);
+        Files.write(folder.resolve("jobs.csv"), formatJobLines(jobs));
+        Files.writeString(folder.resolve("schedulers.csv"), schedulersCsv);
+        eventLines.addAll(violations.stream()
                 .map(line -> new JSON().toJSON(Map.of("event", "broken", "of", line)))
                 .toList());
-        Files.write(folder.resolve("events.jsonl"), events);
+        Files.write(folder.resolve("events.jsonl"), eventLines);
     }
 
     /** A line for each job, so that times can be looked at by second, class and scheduler. */
-    private static List<String> jobs(List<Asked> asked) {
+    private static List<String> formatJobLines(List<JobRecord> jobs) {
         List<String> lines = new ArrayList<>(List.of("sent_ms,class,scheduler,answer,took_ms"));
-        for (Asked a : asked) {
+        for (JobRecord job : jobs) {
             lines.add(String.format(
                     Locale.ROOT,
                     "%.1f,%s,%d,%s,%.1f",
-                    a.sentAt() / 1e3,
-                    StandInConfig.CLASSES.get(a.unsafe() ? 1 : 0),
-                    a.scheduler(),
-                    a.answer().name().toLowerCase(Locale.ROOT),
-                    (a.answeredAt() - a.sentAt()) / 1e3));
+                    job.sentAt() / 1e3,
+                    StandInConfig.CLASSES.get(job.atMostOnce() ? 1 : 0),
+                    job.scheduler(),
+                    job.answer().name().toLowerCase(Locale.ROOT),
+                    (job.answeredAt() - job.sentAt()) / 1e3));
         }
         return lines;
     }
 
     /** Ends every process and all that was started for them. */
-    private void end() throws Exception {
-        faults.shutdownNow();
-        for (SchedulerProcess one : instances) {
-            one.stop();
+    private void stopAll() throws Exception {
+        faultTimers.shutdownNow();
+        for (SchedulerProcess scheduler : schedulers) {
+            scheduler.stop();
         }
         discoveries.forEach(StandInDiscovery::stop);
         workers.forEach(StandInWorker::stop);
-        if (front != null) {
-            front.stop();
+        if (listener != null) {
+            listener.stop();
         }
-        if (hub != null) {
-            hub.close();
+        if (peerNetwork != null) {
+            peerNetwork.close();
         }
         LifeCycle.stop(timers);
         pool.shutdownNow();
--- a/src/main/java/barrowshore/fleet/FleetScenario.java
+++ b/src/main/java/barrowshore/fleet/FleetScenario.java
@@ -20,13 +20,13 @@
         String name,
         int schedulers,
         int workers,
-        double rate,
-        long length,
+        double jobsPerSecond,
+        long lengthMicros,
         long seed,
-        double loss,
+        double datagramLoss,
         List<Fault> faults) {
     /** What happens. Schedulers are numbered from 0, and so are workers. */
-    public enum What {
+    public enum FaultKind {
         KILL,
         TERM,
         START,
@@ -40,87 +40,97 @@
     }
 
     /** one: the scheduler or worker; lasts 0: for good; others: the schedulers on the other side of a partition. */
-    public record Fault(What what, long at, long lasts, int one, double factor, List<Integer> others) {
-        boolean ofWorker() {
-            return what.ordinal() >= What.CRASH.ordinal();
+    public record Fault(
+            FaultKind kind,
+            long atMicros,
+            long durationMicros,
+            int target,
+            double factor,
+            List<Integer> isolatedSchedulers) {
+        boolean targetsWorker() {
+            return kind.ordinal() >= FaultKind.CRASH.ordinal();
         }
     }
 
     /** Reads a file; a {@link ConfigException} names line, column and element. */
     public static FleetScenario read(Path file) {
-        return of(file.toString(), XmlFile.read(file, FleetScenario.class, "fleet.xsd"));
+        return fromXml(file.toString(), XmlFile.read(file, FleetScenario.class, "fleet.xsd"));
     }
 
     static FleetScenario parse(String text) {
-        return of(
+        return fromXml(
                 "fleet",
                 XmlFile.read("fleet", text.getBytes(StandardCharsets.UTF_8), FleetScenario.class, "fleet.xsd"));
     }
 
-    private static FleetScenario of(String file, Element root) {
+    private static FleetScenario fromXml(String file, Element root) {
         int schedulers = (int) root.number("schedulers"), workers = (int) root.number("workers");
-        long length = root.micros("length");
+        long lengthMicros = root.micros("length");
         List<Fault> faults = new ArrayList<>();
-        for (Element e : root.children()) {
-            What what = What.valueOf(e.name().toUpperCase(Locale.ROOT));
-            boolean worker = e.get("worker") != null;
-            int one = what == What.PARTITION ? -1 : (int) e.number(worker ? "worker" : "scheduler");
-            if (one >= (worker ? workers : schedulers)) {
-                throw e.error(
+        for (Element element : root.children()) {
+            FaultKind kind = FaultKind.valueOf(element.name().toUpperCase(Locale.ROOT));
+            boolean targetsWorker = element.get("worker") != null;
+            int target =
+                    kind == FaultKind.PARTITION ? -1 : (int) element.number(targetsWorker ? "worker" : "scheduler");
+            if (target >= (targetsWorker ? workers : schedulers)) {
+                throw element.error(
                         file,
-                        "there is no " + (worker ? "worker " : "scheduler ") + one + "; they are numbered from 0");
+                        "there is no " + (targetsWorker ? "worker " : "scheduler ") + target
+                                + "; they are numbered from 0");
             }
-            if (e.micros("at") + e.micros("for") > length) {
-                throw e.error(file, "it is not over before the load is");
+            if (element.micros("at") + element.micros("for") > lengthMicros) {
+                throw element.error(file, "it is not over before the load is");
             }
-            List<Integer> others = new ArrayList<>();
-            for (String word : what == What.PARTITION ? e.get("schedulers").split("\\s+") : new String[0]) {
-                if (Integer.parseInt(word) >= schedulers) {
-                    throw e.error(file, "there is no scheduler " + word + "; they are numbered from 0");
+            List<Integer> isolatedSchedulers = new ArrayList<>();
+            for (String number :
+                    kind == FaultKind.PARTITION ? element.get("schedulers").split("\\s+") : new String[0]) {
+                if (Integer.parseInt(number) >= schedulers) {
+                    throw element.error(file, "there is no scheduler " + number + "; they are numbered from 0");
                 }
-                if (others.contains(Integer.parseInt(word))) {
-                    throw e.error(file, "scheduler " + word + " is there twice");
+                if (isolatedSchedulers.contains(Integer.parseInt(number))) {
+                    throw element.error(file, "scheduler " + number + " is there twice");
                 }
-                others.add(Integer.parseInt(word));
+                isolatedSchedulers.add(Integer.parseInt(number));
             }
             faults.add(new Fault(
-                    what,
-                    e.micros("at"),
-                    e.micros("for"),
-                    one,
-                    e.get("factor") == null ? 1 : e.number("factor"),
-                    others));
-            inOrder(file, e, faults, schedulers);
+                    kind,
+                    element.micros("at"),
+                    element.micros("for"),
+                    target,
+                    element.get("factor") == null ? 1 : element.number("factor"),
+                    isolatedSchedulers));
+            checkOrder(file, element, faults, schedulers);
         }
-        faults.sort(Comparator.comparingLong(Fault::at));
+        faults.sort(Comparator.comparingLong(Fault::atMicros));
         return new FleetScenario(
                 root.get("name"),
                 schedulers,
                 workers,
                 root.number("rate"),
-                length,
+                lengthMicros,
                 (long) root.number("seed"),
                 root.number("loss"),
                 List.copyOf(faults));
     }
 
     /** What is down cannot be killed, ended or paused, and what is up cannot be started. */
-    private static void inOrder(String file, Element at, List<Fault> faults, int schedulers) {
+    private static void checkOrder(String file, Element element, List<Fault> faults, int schedulers) {
         List<Fault> sorted = new ArrayList<>(faults);
-        sorted.sort(Comparator.comparingLong(Fault::at));
-        Map<Integer, Boolean> up = new TreeMap<>();
-        for (Fault f : sorted) {
-            if (f.ofWorker() || f.what() == What.PARTITION || f.what() == What.SILENCE) {
+        sorted.sort(Comparator.comparingLong(Fault::atMicros));
+        Map<Integer, Boolean> upByScheduler = new TreeMap<>();
+        for (Fault fault : sorted) {
+            if (fault.targetsWorker() || fault.kind() == FaultKind.PARTITION || fault.kind() == FaultKind.SILENCE) {
                 continue;
             }
-            boolean was = up.getOrDefault(f.one(), true);
-            if (was == (f.what() == What.START)) {
-                throw at.error(file, "scheduler " + f.one() + " is " + (was ? "up" : "down") + " by then");
+            boolean wasUp = upByScheduler.getOrDefault(fault.target(), true);
+            if (wasUp == (fault.kind() == FaultKind.START)) {
+                throw element.error(
+                        file, "scheduler " + fault.target() + " is " + (wasUp ? "up" : "down") + " by then");
             }
-            up.put(f.one(), f.what() == What.START || f.what() == What.PAUSE);
+            upByScheduler.put(fault.target(), fault.kind() == FaultKind.START || fault.kind() == FaultKind.PAUSE);
         }
-        if (up.values().stream().filter(u -> !u).count() >= schedulers) {
-            throw at.error(file, "nobody is left to serve");
+        if (upByScheduler.values().stream().filter(u -> !u).count() >= schedulers) {
+            throw element.error(file, "nobody is left to serve");
         }
     }
 }
--- a/src/main/java/barrowshore/fleet/Invariants.java
+++ b/src/main/java/barrowshore/fleet/Invariants.java
@@ -20,54 +20,63 @@
     }
 
     /** A request; times in microseconds on one clock; until: when its client stopped waiting. */
-    record Asked(String id, boolean unsafe, int scheduler, long sentAt, long answeredAt, long until, Answer answer) {}
+    record JobRecord(
+            String id,
+            boolean atMostOnce,
+            int scheduler,
+            long sentAt,
+            long answeredAt,
+            long waitedUntil,
+            Answer answer) {}
 
     /** A scheduler was killed, or stood still: what it held then may be without an answer. */
     record Outage(int scheduler, long from, long to) {}
 
     /** What a worker recorded; late: jobs that came after its drain had been told and the grace was over. */
-    record Worked(String worker, int late, boolean pushedOver, double coldUse) {}
+    record WorkerRecord(String worker, int lateJobs, boolean failedFromOverload, double coldBudgetUsed) {}
 
     private Invariants() {}
 
     /** What is broken, a line each; empty if all holds. runs: how often each id started, on all workers together. */
-    static List<String> broken(
-            Collection<Asked> asked,
-            Map<String, Integer> runs,
+    static List<String> findViolations(
+            Collection<JobRecord> jobs,
+            Map<String, Integer> startsByJobId,
             List<Outage> outages,
-            List<Worked> workers,
-            List<String> leftBehind) {
-        List<String> broken = new ArrayList<>();
-        for (Asked a : asked) {
-            int ran = runs.getOrDefault(a.id, 0);
-            if (a.answer == Answer.NONE
+            List<WorkerRecord> workers,
+            List<String> processProblems) {
+        List<String> violations = new ArrayList<>();
+        for (JobRecord job : jobs) {
+            int starts = startsByJobId.getOrDefault(job.id, 0);
+            if (job.answer == Answer.NONE
                     && outages.stream()
-                            .noneMatch(o -> o.scheduler == a.scheduler && o.from <= a.until && o.to >= a.sentAt)) {
-                broken.add("no answer: " + a.id + " at scheduler " + a.scheduler + ", sent at " + seconds(a.sentAt));
+                            .noneMatch(o ->
+                                    o.scheduler == job.scheduler && o.from <= job.waitedUntil && o.to >= job.sentAt)) {
+                violations.add("no answer: " + job.id + " at scheduler " + job.scheduler + ", sent at "
+                        + formatSeconds(job.sentAt));
             }
-            if (a.unsafe && ran > 1) {
-                broken.add("ran " + ran + " times and must not: " + a.id);
+            if (job.atMostOnce && starts > 1) {
+                violations.add("ran " + starts + " times and must not: " + job.id);
             }
-            if (a.answer == Answer.SERVED && ran == 0) {
-                broken.add("served and no worker ran it: " + a.id);
+            if (job.answer == Answer.SERVED && starts == 0) {
+                violations.add("served and no worker ran it: " + job.id);
             }
-            if (a.answer == Answer.TURNED_DOWN && a.unsafe && ran > 0) {
-                broken.add("turned down as harmless though it ran: " + a.id);
+            if (job.answer == Answer.TURNED_DOWN && job.atMostOnce && starts > 0) {
+                violations.add("turned down as harmless though it ran: " + job.id);
             }
         }
-        for (Worked w : workers) {
-            if (w.late > 0) {
-                broken.add(w.late + " jobs after the grace of its drain: " + w.worker);
+        for (WorkerRecord worker : workers) {
+            if (worker.lateJobs > 0) {
+                violations.add(worker.lateJobs + " jobs after the grace of its drain: " + worker.worker);
             }
-            if (w.pushedOver) {
-                broken.add("pushed over while cold: " + w.worker);
+            if (worker.failedFromOverload) {
+                violations.add("pushed over while cold: " + worker.worker);
             }
         }
-        leftBehind.forEach(process -> broken.add("left behind: " + process));
-        return broken;
+        processProblems.forEach(process -> violations.add("left behind: " + process));
+        return violations;
     }
 
-    private static String seconds(long micros) {
+    private static String formatSeconds(long micros) {
         return Math.round(micros / 1e4) / 100.0 + " s";
     }
 }
--- a/src/main/java/barrowshore/fleet/PeerNetwork.java
+++ b/src/main/java/barrowshore/fleet/PeerNetwork.java
@@ -24,7 +24,7 @@
  */
 public final class PeerNetwork implements AutoCloseable {
     /** The platform's most, and one more to see a longer one. */
-    private static final int MOST = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     /** Bytes of the IP and UDP heads of a datagram. */
     public static final int HEADER_BYTES = 28;
@@ -32,55 +32,55 @@
     /** What one scheduler has sent, once for all others, and been brought; bytes with heads. */
     public record Traffic(long sent, long sentBytes, long delivered, long deliveredBytes) {}
 
-    private final List<DatagramChannel> doors = new ArrayList<>();
-    private final DatagramChannel all;
-    private final List<InetSocketAddress> schedulers = new ArrayList<>();
-    private final Map<SocketAddress, Integer> bySource = new HashMap<>();
+    private final List<DatagramChannel> publicChannels = new ArrayList<>();
+    private final DatagramChannel broadcastChannel;
+    private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
+    private final Map<SocketAddress, Integer> schedulerBySource = new HashMap<>();
     private final Selector selector;
-    private final Thread carrier;
+    private final Thread forwarder;
     private final double loss;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     /** The schedulers on one side of a cut; replaced as a whole, read by the carrier. */
-    private volatile Set<Integer> apart = Set.of();
+    private volatile Set<Integer> partitionSide = Set.of();
 
-    private final AtomicLongArray sent, sentBytes, brought, broughtBytes;
-    private volatile long carried, lost, tooLong;
+    private final AtomicLongArray sent, sentBytes, delivered, deliveredBytes;
+    private volatile long forwardedCount, lostCount, oversizedCount;
 
     /** So many schedulers, each at a free port of its own that it will listen on. */
     public PeerNetwork(int count, double loss, long seed) throws IOException {
         this.loss = loss;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         sent = new AtomicLongArray(count);
         sentBytes = new AtomicLongArray(count);
-        brought = new AtomicLongArray(count);
-        broughtBytes = new AtomicLongArray(count);
+        delivered = new AtomicLongArray(count);
+        deliveredBytes = new AtomicLongArray(count);
         selector = Selector.open();
-        all = open(-1);
-        List<DatagramChannel> held = new ArrayList<>();
+        broadcastChannel = openChannel(-1);
+        List<DatagramChannel> portHolders = new ArrayList<>();
         try {
-            for (int k = 0; k < count; k++) {
-                doors.add(open(k));
-                DatagramChannel port = DatagramChannel.open().bind(loopback());
-                held.add(port);
-                schedulers.add((InetSocketAddress) port.getLocalAddress());
-                bySource.put(port.getLocalAddress(), k);
+            for (int scheduler = 0; scheduler < count; scheduler++) {
+                publicChannels.add(openChannel(scheduler));
+                DatagramChannel portHolder = DatagramChannel.open().bind(freeLoopbackAddress());
+                portHolders.add(portHolder);
+                listenAddresses.add((InetSocketAddress) portHolder.getLocalAddress());
+                schedulerBySource.put(portHolder.getLocalAddress(), scheduler);
             }
         } finally {
-            for (DatagramChannel port : held) {
-                port.close();
+            for (DatagramChannel portHolder : portHolders) {
+                portHolder.close();
             }
         }
-        carrier = new Thread(this::carry, "datagrams between schedulers");
-        carrier.setDaemon(true);
-        carrier.start();
+        forwarder = new Thread(this::forwardUntilClosed, "datagrams between schedulers");
+        forwarder.setDaemon(true);
+        forwarder.start();
     }
 
-    private static InetSocketAddress loopback() {
+    private static InetSocketAddress freeLoopbackAddress() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    private DatagramChannel open(int scheduler) throws IOException {
-        DatagramChannel channel = DatagramChannel.open().bind(loopback());
+    private DatagramChannel openChannel(int scheduler) throws IOException {
+        DatagramChannel channel = DatagramChannel.open().bind(freeLoopbackAddress());
         channel.configureBlocking(false);
         channel.register(selector, SelectionKey.OP_READ, scheduler);
         return channel;
@@ -88,61 +88,61 @@
 
     /** Where a scheduler listens. */
     public InetSocketAddress listenAddress(int scheduler) {
-        return schedulers.get(scheduler);
+        return listenAddresses.get(scheduler);
     }
 
     /** Where the others know a scheduler. */
     public InetSocketAddress publicAddress(int scheduler) throws IOException {
-        return (InetSocketAddress) doors.get(scheduler).getLocalAddress();
+        return (InetSocketAddress) publicChannels.get(scheduler).getLocalAddress();
     }
 
     /** Where a datagram to all others goes. */
     public InetSocketAddress broadcastAddress() throws IOException {
-        return (InetSocketAddress) all.getLocalAddress();
+        return (InetSocketAddress) broadcastChannel.getLocalAddress();
     }
 
     /** From now on these and the others do not hear one another; empty: all do. */
-    void cut(Set<Integer> side) {
-        apart = Set.copyOf(side);
+    void setPartition(Set<Integer> side) {
+        partitionSide = Set.copyOf(side);
     }
 
     /** What a scheduler has sent and been brought so far. */
     public Traffic traffic(int scheduler) {
         return new Traffic(
-                sent.get(scheduler), sentBytes.get(scheduler), brought.get(scheduler), broughtBytes.get(scheduler));
+                sent.get(scheduler), sentBytes.get(scheduler), delivered.get(scheduler), deliveredBytes.get(scheduler));
     }
 
-    long carried() {
-        return carried;
+    long forwardedCount() {
+        return forwardedCount;
     }
 
-    long lost() {
-        return lost;
+    long lostCount() {
+        return lostCount;
     }
 
     /** Datagrams over the platform's most: there must be none. */
-    long tooLong() {
-        return tooLong;
+    long oversizedCount() {
+        return oversizedCount;
     }
 
-    private void carry() {
-        ByteBuffer in = ByteBuffer.allocate(MOST + 1);
+    private void forwardUntilClosed() {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
         while (selector.isOpen()) {
             try {
                 selector.select();
                 for (SelectionKey key : selector.selectedKeys()) {
-                    in.clear();
-                    SocketAddress source = ((DatagramChannel) key.channel()).receive(in);
-                    Integer from = source == null ? null : bySource.get(source);
-                    if (from != null) {
-                        in.flip();
-                        sent.incrementAndGet(from);
-                        sentBytes.addAndGet(from, in.remaining() + HEADER_BYTES);
-                        tooLong += in.remaining() > MOST ? 1 : 0;
-                        int to = (Integer) key.attachment();
-                        for (int k = 0; k < doors.size(); k++) {
-                            if (k != from && (to < 0 || to == k)) {
-                                deliver(from, k, in.duplicate());
+                    buffer.clear();
+                    SocketAddress source = ((DatagramChannel) key.channel()).receive(buffer);
+                    Integer sender = source == null ? null : schedulerBySource.get(source);
+                    if (sender != null) {
+                        buffer.flip();
+                        sent.incrementAndGet(sender);
+                        sentBytes.addAndGet(sender, buffer.remaining() + HEADER_BYTES);
+                        oversizedCount += buffer.remaining() > MAX_DATAGRAM_BYTES ? 1 : 0;
+                        int receiver = (Integer) key.attachment();
+                        for (int scheduler = 0; scheduler < publicChannels.size(); scheduler++) {
+                            if (scheduler != sender && (receiver < 0 || receiver == scheduler)) {
+                                deliver(sender, scheduler, buffer.duplicate());
                             }
                         }
                     }
@@ -151,30 +151,30 @@
             } catch (ClosedSelectorException e) {
                 return;
             } catch (IOException e) {
-                lost++; // its receiver is down: as on any network
+                lostCount++; // its receiver is down: as on any network
             }
         }
     }
 
-    private void deliver(int from, int to, ByteBuffer message) throws IOException {
-        Set<Integer> side = apart;
-        if (!side.isEmpty() && side.contains(from) != side.contains(to) || chance.nextDouble() < loss) {
-            lost++;
+    private void deliver(int sender, int receiver, ByteBuffer datagram) throws IOException {
+        Set<Integer> side = partitionSide;
+        if (!side.isEmpty() && side.contains(sender) != side.contains(receiver) || random.nextDouble() < loss) {
+            lostCount++;
             return;
         }
-        int bytes = message.remaining() + HEADER_BYTES;
-        doors.get(from).send(message, schedulers.get(to));
-        brought.incrementAndGet(to);
-        broughtBytes.addAndGet(to, bytes);
-        carried++;
+        int bytes = datagram.remaining() + HEADER_BYTES;
+        publicChannels.get(sender).send(datagram, listenAddresses.get(receiver));
+        delivered.incrementAndGet(receiver);
+        deliveredBytes.addAndGet(receiver, bytes);
+        forwardedCount++;
     }
 
     @Override
     public void close() throws IOException {
         selector.close();
-        all.close();
-        for (DatagramChannel door : doors) {
-            door.close();
+        broadcastChannel.close();
+        for (DatagramChannel channel : publicChannels) {
+            channel.close();
         }
     }
 }
--- a/src/main/java/barrowshore/fleet/SchedulerProcess.java
+++ b/src/main/java/barrowshore/fleet/SchedulerProcess.java
@@ -23,20 +23,20 @@
  */
 public final class SchedulerProcess {
     /** How long a start may take, on a machine that starts many at once. */
-    private static final long READY_SECONDS = 90;
+    private static final long READY_TIMEOUT_SECONDS = 90;
     /** The platform ends one that was told to end after the longest deadline and 0.7 s; a slow machine gets more. */
-    private static final long LEAVES_SECONDS = 10;
+    private static final long EXIT_TIMEOUT_SECONDS = 10;
 
     final int number;
     final int port;
     private final Path folder;
     private final List<String> command;
     /** Holds the port until the first start: another program on this machine must not get it meanwhile. */
-    private final ServerSocket reserved;
+    private final ServerSocket reservedPort;
 
     private volatile Process process;
     /** How often it has been started: what is noticed late must not be laid to a later life. */
-    private volatile int lives;
+    private volatile int startCount;
     /** Whether the front sends it clients. */
     volatile boolean inService;
 
@@ -45,8 +45,8 @@
         this.number = number;
         this.folder = folder;
         this.command = command;
-        reserved = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        port = reserved.getLocalPort();
+        reservedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        port = reservedPort.getLocalPort();
     }
 
     /**
@@ -54,29 +54,29 @@
      * classes.
      */
     public static List<String> launchCommand(Path deploy) {
-        List<String> all =
+        List<String> arguments =
                 new ArrayList<>(List.of(ProcessHandle.current().info().command().orElse("java")));
         if (deploy != null) {
             try {
-                Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar \\S+ serve\"")
+                Matcher runLine = Pattern.compile("(?m)^run = \"exec java (.*) -jar \\S+ serve\"")
                         .matcher(Files.readString(deploy));
-                if (!run.find()) {
+                if (!runLine.find()) {
                     throw new ConfigException(deploy + ": no line run = \"exec java ... -jar ... serve\"");
                 }
-                all.addAll(List.of(run.group(1).split("\\s+")));
+                arguments.addAll(List.of(runLine.group(1).split("\\s+")));
             } catch (IOException e) {
                 throw new ConfigException(
                         deploy + " cannot be read: " + e.getClass().getSimpleName());
             }
         }
-        all.addAll(List.of(
+        arguments.addAll(List.of(
                 "-cp",
                 System.getProperty("java.class.path"),
                 "barrowshore.cli.Main",
                 "serve",
                 "--with",
                 String.valueOf(ProcessHandle.current().pid())));
-        return all;
+        return arguments;
     }
 
     public int number() {
@@ -93,49 +93,49 @@
 
     /** Starts it with this configuration; its log goes on where there is one. */
     public void start(String config) throws IOException {
-        Path file = configuration(), temporary = folder.resolve("tmp" + number);
-        Files.writeString(file, config);
-        Files.createDirectories(temporary);
+        Path configFile = configFile(), temporaryFolder = folder.resolve("tmp" + number);
+        Files.writeString(configFile, config);
+        Files.createDirectories(temporaryFolder);
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
-        builder.environment().put("GW_CONFIG", file.toString());
+        builder.environment().put("GW_CONFIG", configFile.toString());
         builder.environment().put("GW_NAME", "n" + number);
-        builder.environment().put("TMPDIR", temporary.toString());
+        builder.environment().put("TMPDIR", temporaryFolder.toString());
         builder.environment().remove("GW_OPS");
-        reserved.close();
+        reservedPort.close();
         process = builder.start();
-        lives++;
+        startCount++;
     }
 
-    private Path configuration() {
+    private Path configFile() {
         return folder.resolve("n" + number + ".json");
     }
 
     /** Gives it another configuration while it runs. */
     public void reload(String config) throws IOException, InterruptedException {
-        Files.writeString(configuration(), config);
+        Files.writeString(configFile(), config);
         signal("HUP");
     }
 
     /** Waits until it says that it is ready; one that does not come up is an error that names its log. */
     public void awaitReady() throws IOException, InterruptedException {
-        Process mine = process;
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
+        Process started = process;
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
         // Whoever answers there must be ours: a process that has ended answers nothing.
-        while (!ready() || !mine.isAlive()) {
-            if (mine.waitFor(20, TimeUnit.MILLISECONDS) || System.nanoTime() > until) {
+        while (!answersReady() || !started.isAlive()) {
+            if (started.waitFor(20, TimeUnit.MILLISECONDS) || System.nanoTime() > deadlineNanos) {
                 throw new ConfigException("scheduler " + number
-                        + (mine.isAlive()
-                                ? " was not ready in " + READY_SECONDS + " s"
-                                : " ended with exit code " + mine.exitValue() + " before it was ready")
+                        + (started.isAlive()
+                                ? " was not ready in " + READY_TIMEOUT_SECONDS + " s"
+                                : " ended with exit code " + started.exitValue() + " before it was ready")
                         + "; see " + logFile());
             }
         }
         inService = true;
     }
 
-    private boolean ready() throws IOException {
+    private boolean answersReady() throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(address(), 1000);
             socket.setSoTimeout(2000);
@@ -151,8 +151,8 @@
         }
     }
 
-    int lives() {
-        return lives;
+    int startCount() {
+        return startCount;
     }
 
     public boolean isAlive() {
@@ -167,7 +167,7 @@
         process.destroyForcibly();
     }
 
-    void term() {
+    void terminate() {
         process.destroy();
     }
 
@@ -180,15 +180,15 @@
     }
 
     /** Waits for one that was told to end, which still answers what it holds; one that does not go is ended. */
-    void leave() throws InterruptedException, IOException {
-        if (!process.waitFor(LEAVES_SECONDS, TimeUnit.SECONDS)) {
+    void awaitExit() throws InterruptedException, IOException {
+        if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             stop();
         }
     }
 
     /** Ends it for good and waits until it is gone; whether it is. */
     public boolean stop() throws InterruptedException, IOException {
-        reserved.close();
+        reservedPort.close();
         if (process == null) {
             return true;
         }
@@ -197,17 +197,17 @@
     }
 
     /** Memory in use, in MiB, and processor seconds used; 0 where the system does not tell. */
-    double[] use() {
-        double memory = 0;
+    double[] memoryAndCpu() {
+        double memoryMib = 0;
         try {
-            Matcher rss = Pattern.compile("VmHWM:\\s+(\\d+) kB")
+            Matcher peakMemory = Pattern.compile("VmHWM:\\s+(\\d+) kB")
                     .matcher(Files.readString(Path.of("/proc/" + pid() + "/status")));
-            memory = rss.find() ? Double.parseDouble(rss.group(1)) / 1024 : 0;
+            memoryMib = peakMemory.find() ? Double.parseDouble(peakMemory.group(1)) / 1024 : 0;
         } catch (IOException e) {
-            memory = 0; // it has ended, or this system has no such file
+            memoryMib = 0; // it has ended, or this system has no such file
         }
         return new double[] {
-            memory,
+            memoryMib,
             process.info().totalCpuDuration().map(d -> d.toMillis() / 1000.0).orElse(0.0)
         };
     }
--- a/src/main/java/barrowshore/standin/Demo.java
+++ b/src/main/java/barrowshore/standin/Demo.java
@@ -22,14 +22,14 @@
  * the load's clients and what is printed; everything runs in this process and ends with it.
  */
 public final class Demo {
-    private static final int NODES = 3;
-    private static final int LOST = 10, TOLD = 15, REGAINED = 20, ENDS = 36;
+    private static final int WORKERS_PER_HALL = 3;
+    private static final int CRASH_SECOND = 10, DELIST_SECOND = 15, RESTART_SECOND = 20, DURATION_SECONDS = 36;
     /** Jobs a second at each hall: a light load. */
-    private static final int RATE = 12;
+    private static final int JOBS_PER_SECOND_PER_HALL = 12;
 
-    private static final List<Integer> WORK_MILLIS = List.of(60, 120);
+    private static final List<Integer> JOB_WORK_MILLIS = List.of(60, 120);
 
-    private final AtomicInteger next = new AtomicInteger();
+    private final AtomicInteger lastJobNumber = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger failed = new AtomicInteger();
@@ -37,116 +37,122 @@
     private Demo() {}
 
     /** Plays it; hold: it goes on, with everything well again, until it is stopped. */
-    public static void play(PrintStream out, boolean hold) throws Exception {
-        new Demo().run(out, hold);
+    public static void play(PrintStream out, boolean keepRunning) throws Exception {
+        new Demo().run(out, keepRunning);
     }
 
-    private void run(PrintStream out, boolean hold) throws Exception {
+    private void run(PrintStream out, boolean keepRunning) throws Exception {
         OperatorSettings operator = new OperatorSettings(OperatorSettings.HallSettings.defaults());
-        ScheduledExecutorService clock = Executors.newScheduledThreadPool(1, Demo::daemon);
-        try (StandInSite site = new StandInSite(NODES, operator)) {
-            out.println("two halls of " + NODES + " stand-in nodes, two schedulers, " + 2 * RATE + " jobs a second");
-            for (int h = 0; h < 2; h++) {
-                InetSocketAddress at = site.entrance(h);
-                out.println("  " + site.hallNames().get(h) + ": http://127.0.0.1:" + at.getPort());
+        ScheduledExecutorService loadTimer = Executors.newScheduledThreadPool(1, Demo::daemonThread);
+        try (StandInSite site = new StandInSite(WORKERS_PER_HALL, operator)) {
+            out.println("two halls of " + WORKERS_PER_HALL + " stand-in nodes, two schedulers, "
+                    + 2 * JOBS_PER_SECOND_PER_HALL + " jobs a second");
+            for (int hall = 0; hall < 2; hall++) {
+                InetSocketAddress address = site.clientAddress(hall);
+                out.println("  " + site.hallNames().get(hall) + ": http://127.0.0.1:" + address.getPort());
             }
             out.println(
                     "  try: curl -H 'X-Request-ID: mine-1' -H 'X-Priority-Class: menu-cteni' -H 'X-Timeout-Ms: 2000'"
-                            + " -d lunch http://127.0.0.1:" + site.entrance(0).getPort() + "/menu-cteni");
+                            + " -d lunch http://127.0.0.1:"
+                            + site.clientAddress(0).getPort() + "/menu-cteni");
             HttpClient client = HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .executor(Executors.newFixedThreadPool(2, Demo::daemon))
+                    .executor(Executors.newFixedThreadPool(2, Demo::daemonThread))
                     .build();
-            for (int h = 0; h < 2; h++) {
-                InetSocketAddress at = site.entrance(h);
-                clock.scheduleAtFixedRate(
-                        () -> ask(client, at), 1_000_000 + h * 40_000, 1_000_000 / RATE, TimeUnit.MICROSECONDS);
+            for (int hall = 0; hall < 2; hall++) {
+                InetSocketAddress address = site.clientAddress(hall);
+                loadTimer.scheduleAtFixedRate(
+                        () -> sendJob(client, address),
+                        1_000_000 + hall * 40_000,
+                        1_000_000 / JOBS_PER_SECOND_PER_HALL,
+                        TimeUnit.MICROSECONDS);
             }
-            int[] total = new int[3];
-            for (int second = 1; hold || second <= ENDS; second++) {
+            int[] totals = new int[3];
+            for (int second = 1; keepRunning || second <= DURATION_SECONDS; second++) {
                 Thread.sleep(1000);
                 switch (second) {
-                    case LOST -> {
-                        site.lose(0);
+                    case CRASH_SECOND -> {
+                        site.crashHall(0);
                         out.println("-- every node of hala-a dies");
                     }
-                    case TOLD -> {
-                        site.delist(0);
+                    case DELIST_SECOND -> {
+                        site.delistHall(0);
                         out.println("-- discovery has noticed");
                     }
-                    case REGAINED -> {
-                        site.regain(0);
+                    case RESTART_SECOND -> {
+                        site.restartHall(0);
                         out.println("-- they start again, cold");
                     }
                     default -> {}
                 }
-                int[] now = {served.getAndSet(0), refused.getAndSet(0), failed.getAndSet(0)};
+                int[] lastSecond = {served.getAndSet(0), refused.getAndSet(0), failed.getAndSet(0)};
                 for (int k = 0; k < 3; k++) {
-                    total[k] += now[k];
+                    totals[k] += lastSecond[k];
                 }
                 out.printf(
                         Locale.ROOT,
                         "%3d s  served %3d  refused %2d  failed %2d  spilled %3.0f  %s%n",
                         second,
-                        now[0],
-                        now[1],
-                        now[2],
-                        spilled(site),
-                        states(site));
+                        lastSecond[0],
+                        lastSecond[1],
+                        lastSecond[2],
+                        spilledSlots(site),
+                        formatHallStates(site));
             }
             out.printf(
                     "served %d, refused %d, failed %d; jobs that ran twice and must not: %d; nodes pushed over: %d%n",
-                    total[0],
-                    total[1],
-                    total[2],
-                    site.counts().stream()
+                    totals[0],
+                    totals[1],
+                    totals[2],
+                    site.workerCounters().stream()
                             .mapToLong(c -> c.startsByJobId().entrySet().stream()
                                     .filter(e -> e.getKey().startsWith("objednavka") && e.getValue() > 1)
                                     .count())
                             .sum(),
-                    site.counts().stream()
+                    site.workerCounters().stream()
                             .filter(StandInWorker.Counters::failedFromOverload)
                             .count());
         } finally {
-            clock.shutdownNow();
+            loadTimer.shutdownNow();
         }
     }
 
-    private static Thread daemon(Runnable run) {
-        Thread thread = new Thread(run, "the demo's clients");
+    private static Thread daemonThread(Runnable task) {
+        Thread thread = new Thread(task, "the demo's clients");
         thread.setDaemon(true);
         return thread;
     }
 
-    private static double spilled(StandInSite site) throws Exception {
+    private static double spilledSlots(StandInSite site) throws Exception {
         double sum = 0;
-        for (int s = 0; s < 2; s++) {
-            sum += site.schedulers().get(s).spilledSlots(1 - s).get(2, TimeUnit.SECONDS);
+        for (int scheduler = 0; scheduler < 2; scheduler++) {
+            sum += site.schedulers().get(scheduler).spilledSlots(1 - scheduler).get(2, TimeUnit.SECONDS);
         }
         return sum;
     }
 
     /** Each hall, as its own scheduler sees it. */
-    private static String states(StandInSite site) throws Exception {
+    private static String formatHallStates(StandInSite site) throws Exception {
         StringBuilder line = new StringBuilder();
-        for (int h = 0; h < 2; h++) {
-            CompletableFuture<List<HallState>> states = site.schedulers().get(h).hallStates();
-            line.append(site.hallNames().get(h))
+        for (int hall = 0; hall < 2; hall++) {
+            CompletableFuture<List<HallState>> states =
+                    site.schedulers().get(hall).hallStates();
+            line.append(site.hallNames().get(hall))
                     .append(' ')
-                    .append(states.get(2, TimeUnit.SECONDS).get(h).name().toLowerCase(Locale.ROOT))
-                    .append(h == 0 ? "  " : "");
+                    .append(states.get(2, TimeUnit.SECONDS).get(hall).name().toLowerCase(Locale.ROOT))
+                    .append(hall == 0 ? "  " : "");
         }
         return line.toString();
     }
 
-    private void ask(HttpClient client, InetSocketAddress at) {
-        int number = next.incrementAndGet();
-        int type = number % 2;
-        String name = StandInConfig.CLASSES.get(type);
-        HttpRequest request = HttpRequest.newBuilder(
-                        URI.create("http://127.0.0.1:" + at.getPort() + "/" + name + "?work=" + WORK_MILLIS.get(type)))
-                .header("X-Request-ID", name + "-" + number)
-                .header("X-Priority-Class", name)
+    private void sendJob(HttpClient client, InetSocketAddress address) {
+        int number = lastJobNumber.incrementAndGet();
+        int classIndex = number % 2;
+        String className = StandInConfig.CLASSES.get(classIndex);
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + "/"
+                        + className + "?work=" + JOB_WORK_MILLIS.get(classIndex)))
+                .header("X-Request-ID", className + "-" + number)
+                .header("X-Priority-Class", className)
                 .header("X-Timeout-Ms", "3000")
                 .timeout(Duration.ofSeconds(5))
                 .POST(HttpRequest.BodyPublishers.ofString("lunch"))
--- a/src/main/java/barrowshore/standin/StandInConfig.java
+++ b/src/main/java/barrowshore/standin/StandInConfig.java
@@ -34,19 +34,19 @@
             String name,
             InetSocketAddress listen,
             InetSocketAddress discovery,
-            int me,
+            int number,
             int zone,
             InetSocketAddress peerListen,
             List<String> peers,
-            InetSocketAddress all) {
+            InetSocketAddress broadcastAddress) {
         return ("{'name':'" + name + "','listen':'" + formatAddress(listen) + "','discovery':'"
                         + formatAddress(discovery) + "','seed':'"
-                        + Integer.toHexString(me + 1) + "','limits':{'sockets':1024},'peer_listen':'"
+                        + Integer.toHexString(number + 1) + "','limits':{'sockets':1024},'peer_listen':'"
                         + formatAddress(peerListen)
                         + "','peers':["
                         + peers.stream().map(peer -> "'" + peer + "'").collect(Collectors.joining(","))
-                        + "],'peers_all':'" + formatAddress(all)
-                        + "','settings':{'groupSize':" + peers.size() + ",'me':" + me + ",'zone':" + zone
+                        + "],'peers_all':'" + formatAddress(broadcastAddress)
+                        + "','settings':{'groupSize':" + peers.size() + ",'me':" + number + ",'zone':" + zone
                         + ",'zones':['" + String.join("','", HALLS) + "'],'kinds':['usual'],'tick':5000,'lanes':["
                         + "{'name':'menu-cteni','aim':250000,'deadline':3000000,'worth':2.0,'idempotency':'idempotent'},"
                         + "{'name':'objednavka','aim':400000,'deadline':4000000,'worth':10.0,'idempotency':'at_most_once'}],"
--- a/src/main/java/barrowshore/standin/StandInDiscovery.java
+++ b/src/main/java/barrowshore/standin/StandInDiscovery.java
@@ -20,43 +20,43 @@
  * tell changes. An actor; it owns the list and the watches' connections.
  */
 public final class StandInDiscovery {
-    private static final long EMPTY_LINE_MILLIS = 2000;
+    private static final long HEARTBEAT_MILLIS = 2000;
     /** Bytes of a TCP segment's content, of its heads (IP 20, TCP 20, its time stamps 12), and a line's end. */
-    private static final int SEGMENT = 1448, HEADS = 52, LINE_END = 2;
+    private static final int SEGMENT_CONTENT_BYTES = 1448, SEGMENT_HEADER_BYTES = 52, LINE_END_BYTES = 2;
 
     /** What its connections have carried since the start: calls that came, and bytes both ways, with TCP's heads. */
     public record Traffic(long calls, long bytes) {}
 
     private final Mailbox mailbox;
     private final Scheduler timers;
-    private final StandInListener front;
+    private final StandInListener listener;
     private final int port;
-    private final Map<String, Map<String, Object>> targets = new LinkedHashMap<>();
-    private final Set<Link> watches = new HashSet<>();
-    private long rev;
+    private final Map<String, Map<String, Object>> entriesByUid = new LinkedHashMap<>();
+    private final Set<DiscoveryLink> watchLinks = new HashSet<>();
+    private long revision;
     private boolean stopped, silent;
-    private final AtomicLong calls = new AtomicLong(), bytes = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong(), byteCount = new AtomicLong();
 
     /** Starts with an empty list, on a free port. */
-    public StandInDiscovery(StandInListener front, ExecutorService pool, Scheduler timers) throws IOException {
+    public StandInDiscovery(StandInListener listener, ExecutorService pool, Scheduler timers) throws IOException {
         this.timers = timers;
         mailbox = new Mailbox("stand-in discovery", pool);
-        this.front = front;
-        port = front.open(0, Link::new);
-        beat();
+        this.listener = listener;
+        port = listener.open(0, DiscoveryLink::new);
+        scheduleHeartbeat();
     }
 
-    private void beat() {
+    private void scheduleHeartbeat() {
         timers.schedule(
                 () -> mailbox.post(() -> {
                     if (!stopped) {
                         if (!silent) {
-                            watches.forEach(w -> w.line(""));
+                            watchLinks.forEach(w -> w.writeLine(""));
                         }
-                        beat();
+                        scheduleHeartbeat();
                     }
                 }),
-                EMPTY_LINE_MILLIS,
+                HEARTBEAT_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -84,42 +84,43 @@
             entry.put("capacity_hint", capacity);
             entry.put("boot_ms", bootMillis);
             if (state.equals("Gone")) {
-                targets.remove(uid);
+                entriesByUid.remove(uid);
             } else {
-                targets.put(uid, entry);
+                entriesByUid.put(uid, entry);
             }
-            rev++;
+            revision++;
             if (!silent) {
-                String line = list(false, new Object[] {entry});
-                watches.forEach(w -> w.line(line));
+                String line = formatList(false, new Object[] {entry});
+                watchLinks.forEach(w -> w.writeLine(line));
             }
         });
     }
 
     /** What has been carried so far, as it would be on a network: each write in segments of its own, one answered by one. */
     public Traffic traffic() {
-        return new Traffic(calls.get(), bytes.get());
+        return new Traffic(requestCount.get(), byteCount.get());
     }
 
-    private void carried(int content) {
-        int segments = (content + SEGMENT - 1) / SEGMENT;
-        bytes.addAndGet(content + 2L * HEADS * segments);
+    private void countBytes(int contentBytes) {
+        int segments = (contentBytes + SEGMENT_CONTENT_BYTES - 1) / SEGMENT_CONTENT_BYTES;
+        byteCount.addAndGet(contentBytes + 2L * SEGMENT_HEADER_BYTES * segments);
     }
 
     /** It answers nothing and tells nothing, or tells all of its list to whoever watches. */
-    public void setSilent(boolean on) {
+    public void setSilent(boolean enabled) {
         mailbox.post(() -> {
-            silent = on;
-            if (!on) {
-                watches.forEach(w -> w.line(list(true, targets.values().toArray())));
+            silent = enabled;
+            if (!enabled) {
+                watchLinks.forEach(
+                        w -> w.writeLine(formatList(true, entriesByUid.values().toArray())));
             }
         });
     }
 
-    private String list(boolean all, Object[] entries) {
+    private String formatList(boolean complete, Object[] entries) {
         Map<String, Object> root = new LinkedHashMap<>();
-        root.put("rev", rev);
-        root.put("all", all);
+        root.put("rev", revision);
+        root.put("all", complete);
         root.put("targets", entries);
         return new JSON().toJSON(root);
     }
@@ -128,48 +129,49 @@
     public void stop() {
         mailbox.post(() -> {
             stopped = true;
-            Set.copyOf(watches).forEach(Link::closeNow);
+            Set.copyOf(watchLinks).forEach(DiscoveryLink::closeNow);
         });
-        front.close(port);
+        listener.close(port);
     }
 
-    private final class Link extends StandInLink {
-        Link(EndPoint endPoint) {
+    private final class DiscoveryLink extends StandInLink {
+        DiscoveryLink(EndPoint endPoint) {
             super(endPoint, StandInDiscovery.this.mailbox, timers);
         }
 
         @Override
-        void sent(int content) {
-            carried(content);
+        void onWrite(int writtenBytes) {
+            countBytes(writtenBytes);
         }
 
         @Override
-        void asked(String method, String target, Map<String, String> headers, String body) {
-            calls.incrementAndGet();
-            int head = (method + " " + target + " HTTP/1.1").length() + 2 * LINE_END;
+        void handleRequest(String method, String target, Map<String, String> headers, String body) {
+            requestCount.incrementAndGet();
+            int headBytes = (method + " " + target + " HTTP/1.1").length() + 2 * LINE_END_BYTES;
             for (Map.Entry<String, String> header : headers.entrySet()) {
-                head += (header.getKey() + ": " + header.getValue()).length() + LINE_END;
+                headBytes += (header.getKey() + ": " + header.getValue()).length() + LINE_END_BYTES;
             }
-            carried(head + body.length());
+            countBytes(headBytes + body.length());
             if (silent) {
                 return; // it is down: nothing is said, and the connection stays
             }
             if (!target.startsWith("/api/targets")) {
                 answer(404, "", "");
             } else if (!target.contains("watch=1")) {
-                answer(200, "", list(true, targets.values().toArray()));
+                answer(200, "", formatList(true, entriesByUid.values().toArray()));
             } else {
-                stream();
-                watches.add(this);
-                if (!target.endsWith("after=" + rev)) {
-                    line(list(true, targets.values().toArray())); // what changed since is not kept: all of it
+                startStream();
+                watchLinks.add(this);
+                if (!target.endsWith("after=" + revision)) {
+                    writeLine(formatList(
+                            true, entriesByUid.values().toArray())); // what changed since is not kept: all of it
                 }
             }
         }
 
         @Override
         protected void onEnd(Throwable cause) {
-            watches.remove(this);
+            watchLinks.remove(this);
         }
     }
 }
--- a/src/main/java/barrowshore/standin/StandInLink.java
+++ b/src/main/java/barrowshore/standin/StandInLink.java
@@ -21,12 +21,12 @@
  * what is still to be written; what the requests mean, its subclass knows.
  */
 abstract class StandInLink extends HttpLink implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
-    private final Deque<byte[]> unsent = new ArrayDeque<>();
+    private final Deque<byte[]> unwritten = new ArrayDeque<>();
     private final StringBuilder body = new StringBuilder();
     private Map<String, String> headers = new HashMap<>();
     private String method;
     private String target;
-    private boolean busy;
+    private boolean handlingRequest;
     private boolean writing;
 
     StandInLink(EndPoint endPoint, Mailbox mailbox, Scheduler timers) {
@@ -35,72 +35,73 @@
     }
 
     /** A whole request has come. */
-    abstract void asked(String method, String target, Map<String, String> headers, String body);
+    abstract void handleRequest(String method, String target, Map<String, String> headers, String body);
 
     /** Writes a whole answer, after which the next request is read. */
-    void answer(int status, String extra, String content) {
+    void answer(int status, String extraHeaders, String content) {
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
-        send("HTTP/1.1 " + status + " -\r\n" + extra + "Content-Length: " + bytes.length + "\r\n\r\n" + content);
-        next();
+        enqueue("HTTP/1.1 " + status + " -\r\n" + extraHeaders + "Content-Length: " + bytes.length + "\r\n\r\n"
+                + content);
+        readNextRequest();
     }
 
     /** Begins an answer in chunks. */
-    void stream() {
-        send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
+    void startStream() {
+        enqueue("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
     /** A line of it, in a chunk of its own. */
-    void line(String text) {
+    void writeLine(String text) {
         byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
-        send(Integer.toHexString(bytes.length) + "\r\n" + text + "\n\r\n");
+        enqueue(Integer.toHexString(bytes.length) + "\r\n" + text + "\n\r\n");
     }
 
     /** Its end, after which the next request is read. */
     void endStream() {
-        send("0\r\n\r\n");
-        next();
+        enqueue("0\r\n\r\n");
+        readNextRequest();
     }
 
-    private void next() {
-        busy = false;
+    private void readNextRequest() {
+        handlingRequest = false;
         parser.reset();
         mailbox.post(this::read);
     }
 
     /** So many bytes are on their way to the peer, in one write. */
-    void sent(int bytes) {}
+    void onWrite(int bytes) {}
 
-    private void send(String text) {
+    private void enqueue(String text) {
         if (isClosed()) {
             return;
         }
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        unsent.add(bytes);
-        sent(bytes.length);
-        flush();
+        unwritten.add(bytes);
+        onWrite(bytes.length);
+        writeNext();
     }
 
-    private void flush() {
-        if (writing || unsent.isEmpty() || isClosed()) {
+    private void writeNext() {
+        if (writing || unwritten.isEmpty() || isClosed()) {
             return;
         }
         writing = true;
         write(
-                ByteBuffer.wrap(unsent.poll()),
+                ByteBuffer.wrap(unwritten.poll()),
                 () -> mailbox.post(() -> {
                     writing = false;
-                    flush();
+                    writeNext();
                 }));
     }
 
     @Override
     protected boolean wantsBytes() {
-        return !busy;
+        return !handlingRequest;
     }
 
     @Override
-    public void startRequest(String asked, String uri, HttpVersion version) {
-        method = asked;
+    public void startRequest(String requestMethod, String uri, HttpVersion version) {
+        method = requestMethod;
         target = uri;
         headers = new HashMap<>();
         body.setLength(0);
@@ -120,8 +121,8 @@
 
     @Override
     public boolean messageComplete() {
-        busy = true;
-        asked(method, target, headers, body.toString());
+        handlingRequest = true;
+        handleRequest(method, target, headers, body.toString());
         return true;
     }
 }
--- a/src/main/java/barrowshore/standin/StandInListener.java
+++ b/src/main/java/barrowshore/standin/StandInListener.java
@@ -24,27 +24,27 @@
     private static final int BACKLOG = 256;
 
     /** A port that is listened on. */
-    private record Door(ServerSocketChannel channel, Function<EndPoint, Connection> opener) {}
+    private record ListeningPort(ServerSocketChannel channel, Function<EndPoint, Connection> connectionFactory) {}
 
-    private final Map<Integer, Door> doors = new ConcurrentHashMap<>();
-    private final ConnectionManager dialer;
+    private final Map<Integer, ListeningPort> listeningPorts = new ConcurrentHashMap<>();
+    private final ConnectionManager connectionManager;
 
     /** most: connections to all of its doors together. */
-    public StandInListener(Executor pool, Scheduler timers, int most) throws Exception {
-        dialer = new ConnectionManager(pool, timers, 1, most, 1000, this::accepted);
-        dialer.start();
+    public StandInListener(Executor pool, Scheduler timers, int maxConnections) throws Exception {
+        connectionManager = new ConnectionManager(pool, timers, 1, maxConnections, 1000, this::openConnection);
+        connectionManager.start();
     }
 
-    private Connection accepted(EndPoint endPoint) {
-        Door door = doors.get(((InetSocketAddress) endPoint.getLocalSocketAddress()).getPort());
-        if (door == null) {
+    private Connection openConnection(EndPoint endPoint) {
+        ListeningPort listening = listeningPorts.get(((InetSocketAddress) endPoint.getLocalSocketAddress()).getPort());
+        if (listening == null) {
             throw new IllegalStateException("nobody listens there any more");
         }
-        return door.opener.apply(endPoint);
+        return listening.connectionFactory.apply(endPoint);
     }
 
     /** Listens on a port (0: a free one) until it is closed; returns the port. */
-    int open(int port, Function<EndPoint, Connection> opener) throws IOException {
+    int open(int port, Function<EndPoint, Connection> connectionFactory) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -53,20 +53,20 @@
             channel.close();
             throw e;
         }
-        int bound = ((InetSocketAddress) channel.getLocalAddress()).getPort();
-        doors.put(bound, new Door(channel, opener));
-        dialer.listen(channel);
-        return bound;
+        int boundPort = ((InetSocketAddress) channel.getLocalAddress()).getPort();
+        listeningPorts.put(boundPort, new ListeningPort(channel, connectionFactory));
+        connectionManager.listen(channel);
+        return boundPort;
     }
 
     /** Refuses new connections there; the port is free again a little later, when the selector has let go. */
     void close(int port) {
-        Door door = doors.remove(port);
-        if (door != null) {
+        ListeningPort listening = listeningPorts.remove(port);
+        if (listening != null) {
             try {
-                door.channel.close();
+                listening.channel.close();
                 // The selector lets go only in its next turn, and where nothing else happens there is none.
-                dialer.getBean(ManagedSelector.class).submit(keys -> {});
+                connectionManager.getBean(ManagedSelector.class).submit(keys -> {});
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -75,7 +75,7 @@
 
     /** Closes all doors. */
     public void stop() {
-        doors.keySet().forEach(this::close);
-        LifeCycle.stop(dialer);
+        listeningPorts.keySet().forEach(this::close);
+        LifeCycle.stop(connectionManager);
     }
 }
--- a/src/main/java/barrowshore/standin/StandInSite.java
+++ b/src/main/java/barrowshore/standin/StandInSite.java
@@ -29,76 +29,88 @@
  */
 public final class StandInSite implements AutoCloseable {
     private static final List<String> HALLS = StandInConfig.HALLS;
-    private static final int CORES = 4, MOST_CONNECTIONS = 2048;
+    private static final int CORES_PER_WORKER = 4, MAX_CONNECTIONS = 2048;
 
-    private final ExecutorService pool = Executors.newFixedThreadPool(4, run -> {
-        Thread thread = new Thread(run, "stand-ins");
+    private final ExecutorService pool = Executors.newFixedThreadPool(4, task -> {
+        Thread thread = new Thread(task, "stand-ins");
         thread.setDaemon(true);
         return thread;
     });
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final StandInListener front;
+    private final StandInListener listener;
     private final StandInDiscovery discovery;
-    private final List<List<StandInWorker>> halls = new ArrayList<>();
-    private final Map<String, Long> boots = new HashMap<>();
+    private final List<List<StandInWorker>> workersByHall = new ArrayList<>();
+    private final Map<String, Long> bootMillisByUid = new HashMap<>();
     private final List<JobScheduler> schedulers = new ArrayList<>();
 
     /** Starts halls of so many nodes and a scheduler in each. */
-    public StandInSite(int nodes, OperatorSettings operator) throws Exception {
+    public StandInSite(int workersPerHall, OperatorSettings operator) throws Exception {
         timers.start();
-        front = new StandInListener(pool, timers, MOST_CONNECTIONS);
-        discovery = new StandInDiscovery(front, pool, timers);
-        for (int h = 0; h < HALLS.size(); h++) {
-            halls.add(new ArrayList<>());
-            for (int n = 0; n < nodes; n++) {
-                StandInWorker node = new StandInWorker(
-                        "s-" + "ab".charAt(h) + n,
+        listener = new StandInListener(pool, timers, MAX_CONNECTIONS);
+        discovery = new StandInDiscovery(listener, pool, timers);
+        for (int hall = 0; hall < HALLS.size(); hall++) {
+            workersByHall.add(new ArrayList<>());
+            for (int number = 0; number < workersPerHall; number++) {
+                StandInWorker worker = new StandInWorker(
+                        "s-" + "ab".charAt(hall) + number,
                         new WorkerModel.Spec(
-                                CORES, 1, 40, n % 2 == 0, StandInConfig.START_CAPACITY, StandInConfig.WARM_UP_MICROS),
+                                CORES_PER_WORKER,
+                                1,
+                                40,
+                                number % 2 == 0,
+                                StandInConfig.START_CAPACITY,
+                                StandInConfig.WARM_UP_MICROS),
                         new WorkerModel.OverloadLimit(
                                 StandInConfig.OVERLOAD_MULTIPLE,
                                 StandInConfig.OVERLOAD_WINDOW_MICROS,
                                 StandInConfig.MEAN_JOB_MICROS),
                         StandInConfig.PROGRESS_INTERVAL_MICROS,
-                        front,
+                        listener,
                         pool,
                         timers);
-                halls.get(h).add(node);
-                tell(h, node, "Ready");
+                workersByHall.get(hall).add(worker);
+                publish(hall, worker, "Ready");
             }
         }
-        int[] ports = {freePort(), freePort()};
-        for (int s = 0; s < HALLS.size(); s++) {
-            schedulers.add(JobScheduler.start(new SchedulerConfig(Config.parse(config(s, ports)), operator)));
+        int[] ports = {findFreeUdpPort(), findFreeUdpPort()};
+        for (int scheduler = 0; scheduler < HALLS.size(); scheduler++) {
+            schedulers.add(
+                    JobScheduler.start(new SchedulerConfig(Config.parse(schedulerConfig(scheduler, ports)), operator)));
         }
     }
 
-    private static int freePort() throws SocketException {
+    private static int findFreeUdpPort() throws SocketException {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
         }
     }
 
-    private String config(int me, int[] ports) {
+    private String schedulerConfig(int scheduler, int[] ports) {
         List<String> peers = List.of("127.0.0.1:" + ports[0], "127.0.0.1:" + ports[1]);
         return StandInConfig.toJson(
-                "scheduler-" + me,
+                "scheduler-" + scheduler,
                 loopback(0),
                 discovery.address(),
-                me,
-                me,
-                loopback(ports[me]),
+                scheduler,
+                scheduler,
+                loopback(ports[scheduler]),
                 peers,
-                loopback(ports[1 - me]));
+                loopback(ports[1 - scheduler]));
     }
 
     private static InetSocketAddress loopback(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private void tell(int hall, StandInWorker node, String state) {
+    private void publish(int hall, StandInWorker worker, String state) {
         discovery.publish(
-                node.uid(), node.address(), HALLS.get(hall), "usual", CORES, state, boots.getOrDefault(node.uid(), 0L));
+                worker.uid(),
+                worker.address(),
+                HALLS.get(hall),
+                "usual",
+                CORES_PER_WORKER,
+                state,
+                bootMillisByUid.getOrDefault(worker.uid(), 0L));
     }
 
     /** The names of its halls. */
@@ -106,8 +118,8 @@
         return HALLS;
     }
 
-    public List<StandInWorker> nodes(int hall) {
-        return halls.get(hall);
+    public List<StandInWorker> workers(int hall) {
+        return workersByHall.get(hall);
     }
 
     public List<JobScheduler> schedulers() {
@@ -115,7 +127,7 @@
     }
 
     /** Where the clients of a hall connect. */
-    public InetSocketAddress entrance(int hall) throws Exception {
+    public InetSocketAddress clientAddress(int hall) throws Exception {
         return schedulers.get(hall).address();
     }
 
@@ -136,30 +148,31 @@
     }
 
     /** Every node of a hall dies at once. Discovery knows nothing of it yet. */
-    public void lose(int hall) {
-        CompletableFuture.allOf(
-                        halls.get(hall).stream().map(StandInWorker::crash).toArray(CompletableFuture[]::new))
+    public void crashHall(int hall) {
+        CompletableFuture.allOf(workersByHall.get(hall).stream()
+                        .map(StandInWorker::crash)
+                        .toArray(CompletableFuture[]::new))
                 .join();
     }
 
     /** The list hears at last that a hall's nodes are gone. */
-    public void delist(int hall) {
-        halls.get(hall).forEach(node -> tell(hall, node, "Gone"));
+    public void delistHall(int hall) {
+        workersByHall.get(hall).forEach(worker -> publish(hall, worker, "Gone"));
     }
 
     /** They start again, cold, and the list says so. */
-    public void regain(int hall) {
-        for (StandInWorker node : halls.get(hall)) {
-            boots.put(node.uid(), node.restart().join());
-            tell(hall, node, "Ready");
+    public void restartHall(int hall) {
+        for (StandInWorker worker : workersByHall.get(hall)) {
+            bootMillisByUid.put(worker.uid(), worker.restart().join());
+            publish(hall, worker, "Ready");
         }
     }
 
     /** What all nodes have counted. */
-    public List<StandInWorker.Counters> counts() {
-        return halls.stream()
+    public List<StandInWorker.Counters> workerCounters() {
+        return workersByHall.stream()
                 .flatMap(List::stream)
-                .map(node -> node.counters().join())
+                .map(worker -> worker.counters().join())
                 .toList();
     }
 
@@ -169,8 +182,8 @@
             scheduler.stop();
         }
         discovery.stop();
-        halls.forEach(hall -> hall.forEach(StandInWorker::stop));
-        front.stop();
+        workersByHall.forEach(hall -> hall.forEach(StandInWorker::stop));
+        listener.stop();
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
--- a/src/main/java/barrowshore/standin/StandInWorker.java
+++ b/src/main/java/barrowshore/standin/StandInWorker.java
@@ -26,9 +26,9 @@
  */
 public final class StandInWorker {
     /** Work of a job that says nothing of it, microseconds at speed 1. */
-    private static final long USUAL_WORK = 100_000;
+    private static final long DEFAULT_JOB_WORK_MICROS = 100_000;
     /** Until a port that was just closed is tried again. */
-    private static final long AGAIN_MILLIS = 20;
+    private static final long REOPEN_RETRY_MILLIS = 20;
 
     /** What a node counts; runs: how often each id started; late: jobs that came after {@link #countJobsAsLateAfter}. */
     public record Counters(
@@ -40,29 +40,29 @@
             int lateJobs) {}
 
     private final String uid;
-    private final StandInListener front;
+    private final StandInListener listener;
     private final Scheduler timers;
     private final Mailbox mailbox;
     private final Clock clock = Clock.system();
     private final WorkerModel model;
-    private final Set<Link> links = new HashSet<>();
-    private final Map<String, Integer> runs = new HashMap<>();
+    private final Set<WorkerLink> links = new HashSet<>();
+    private final Map<String, Integer> startsByJobId = new HashMap<>();
     private final int port;
-    private long nothingNewAfter = Long.MAX_VALUE;
-    private int late;
+    private long lateAfterMicros = Long.MAX_VALUE;
+    private int lateJobs;
 
     /** Starts a node that has been up for long, on a free port. */
     public StandInWorker(
             String uid,
             WorkerModel.Spec spec,
-            WorkerModel.OverloadLimit falling,
-            long progressEvery,
-            StandInListener front,
+            WorkerModel.OverloadLimit overloadLimit,
+            long progressIntervalMicros,
+            StandInListener listener,
             ExecutorService pool,
             Scheduler timers)
             throws IOException {
         this.uid = uid;
-        this.front = front;
+        this.listener = listener;
         this.timers = timers;
         this.mailbox = new Mailbox("stand-in " + uid, pool);
         this.model = new WorkerModel(
@@ -78,9 +78,9 @@
                     }
                 },
                 spec,
-                falling,
-                progressEvery);
-        port = front.open(0, Link::new);
+                overloadLimit,
+                progressIntervalMicros);
+        port = listener.open(0, WorkerLink::new);
     }
 
     public String uid() {
@@ -93,48 +93,49 @@
 
     /** The process dies: its connections are reset and new ones refused. Done when the future is. */
     public CompletableFuture<Void> crash() {
-        return told(() -> {
+        return runOnMailbox(() -> {
             model.crash();
-            close();
+            closeAllSockets();
         });
     }
 
     /** The process starts again, cold; the future holds when, in Unix time in milliseconds. */
     public CompletableFuture<Long> restart() {
         CompletableFuture<Long> started = new CompletableFuture<>();
-        mailbox.post(() -> listen(started));
+        mailbox.post(() -> listenAndRestart(started));
         return started;
     }
 
-    private void listen(CompletableFuture<Long> started) {
+    private void listenAndRestart(CompletableFuture<Long> started) {
         try {
             if (!model.hasFailedFromOverload()) {
-                front.open(port, Link::new);
+                listener.open(port, WorkerLink::new);
                 model.restart();
             }
             started.complete(clock.micros() / 1000);
         } catch (IOException e) {
-            timers.schedule(() -> mailbox.post(() -> listen(started)), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            timers.schedule(
+                    () -> mailbox.post(() -> listenAndRestart(started)), REOPEN_RETRY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** It takes work and answers nothing, or goes on. */
-    public CompletableFuture<Void> setHung(boolean on) {
-        return told(() -> model.setHung(on));
+    public CompletableFuture<Void> setHung(boolean hung) {
+        return runOnMailbox(() -> model.setHung(hung));
     }
 
     /** Everything takes so many times as long. */
     public CompletableFuture<Void> setSlowdown(double factor) {
-        return told(() -> model.setSlowdown(factor));
+        return runOnMailbox(() -> model.setSlowdown(factor));
     }
 
-    public CompletableFuture<Void> setDraining(boolean on) {
-        return told(() -> model.setDraining(on));
+    public CompletableFuture<Void> setDraining(boolean draining) {
+        return runOnMailbox(() -> model.setDraining(draining));
     }
 
     /** Jobs that come later than so many milliseconds from now are counted: its schedulers should know better by then. */
     public void countJobsAsLateAfter(long millis) {
-        mailbox.post(() -> nothingNewAfter = clock.micros() + millis * 1000);
+        mailbox.post(() -> lateAfterMicros = clock.micros() + millis * 1000);
     }
 
     /** Hands in a job by another way than its socket, as the last byte of a request would. */
@@ -144,51 +145,51 @@
 
     /** The load that it would report over its socket; no answer while it hangs or is down. */
     public CompletableFuture<Load> load() {
-        CompletableFuture<Load> told = new CompletableFuture<>();
+        CompletableFuture<Load> load = new CompletableFuture<>();
         mailbox.post(() -> {
             if (model.isUp() && !model.isHung()) {
-                told.complete(new Load(model.jobCount(), Double.NaN, (int) model.freeSlots()));
+                load.complete(new Load(model.jobCount(), Double.NaN, (int) model.freeSlots()));
             }
         });
-        return told;
+        return load;
     }
 
     /** What it has counted. */
     public CompletableFuture<Counters> counters() {
-        CompletableFuture<Counters> count = new CompletableFuture<>();
-        mailbox.post(() -> count.complete(new Counters(
-                Map.copyOf(runs),
+        CompletableFuture<Counters> counters = new CompletableFuture<>();
+        mailbox.post(() -> counters.complete(new Counters(
+                Map.copyOf(startsByJobId),
                 model.served(),
                 model.coldBudgetUsed(),
                 model.hasFailedFromOverload(),
                 links.size(),
-                late)));
-        return count;
+                lateJobs)));
+        return counters;
     }
 
-    private CompletableFuture<Void> told(Runnable message) {
+    private CompletableFuture<Void> runOnMailbox(Runnable task) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         mailbox.post(() -> {
-            message.run();
+            task.run();
             done.complete(null);
         });
         return done;
     }
 
-    private void close() {
-        front.close(port);
-        List.copyOf(links).forEach(Link::closeNow);
+    private void closeAllSockets() {
+        listener.close(port);
+        List.copyOf(links).forEach(WorkerLink::closeNow);
     }
 
     /** Stops for good. */
     public void stop() {
-        told(this::close).join();
+        runOnMailbox(this::closeAllSockets).join();
     }
 
-    private final class Link extends StandInLink {
-        private Job job;
+    private final class WorkerLink extends StandInLink {
+        private StandInJob job;
 
-        Link(EndPoint endPoint) {
+        WorkerLink(EndPoint endPoint) {
             super(endPoint, StandInWorker.this.mailbox, timers);
         }
 
@@ -203,7 +204,7 @@
         }
 
         @Override
-        void asked(String method, String target, Map<String, String> headers, String body) {
+        void handleRequest(String method, String target, Map<String, String> headers, String body) {
             if (target.equals("/-/load") || target.equals("/-/healthy")) {
                 if (!model.isHung()) {
                     answer(200, "", "{\"inflight\":" + model.jobCount() + ",\"x0\":" + (int) model.freeSlots() + "}");
@@ -215,23 +216,27 @@
                 answer(404, "", "");
                 return;
             }
-            late += clock.micros() > nothingNewAfter ? 1 : 0;
-            job = new Job(this, id, number(target, "slots", 1), number(target, "work", USUAL_WORK / 1000.0) * 1000);
+            lateJobs += clock.micros() > lateAfterMicros ? 1 : 0;
+            job = new StandInJob(
+                    this,
+                    id,
+                    queryNumber(target, "slots", 1),
+                    queryNumber(target, "work", DEFAULT_JOB_WORK_MICROS / 1000.0) * 1000);
             model.offer(job);
         }
 
         /** A figure in the target's query: what a real node would find in the body. */
-        private static double number(String target, String name, double otherwise) {
-            int at = target.indexOf(name + "=");
-            if (at < 0) {
-                return otherwise;
+        private static double queryNumber(String target, String name, double defaultValue) {
+            int start = target.indexOf(name + "=");
+            if (start < 0) {
+                return defaultValue;
             }
-            String rest = target.substring(at + name.length() + 1);
-            int end = rest.indexOf('&');
+            String valueOnwards = target.substring(start + name.length() + 1);
+            int end = valueOnwards.indexOf('&');
             try {
-                return Double.parseDouble(end < 0 ? rest : rest.substring(0, end));
+                return Double.parseDouble(end < 0 ? valueOnwards : valueOnwards.substring(0, end));
             } catch (NumberFormatException e) {
-                return otherwise;
+                return defaultValue;
             }
         }
 
@@ -241,14 +246,14 @@
         }
     }
 
-    private final class Job implements WorkerModel.Job {
-        private final Link link;
+    private final class StandInJob implements WorkerModel.Job {
+        private final WorkerLink link;
         private final String id;
         private final double slots;
         private final double work;
-        private boolean streaming;
+        private boolean streamStarted;
 
-        Job(Link link, String id, double slots, double work) {
+        StandInJob(WorkerLink link, String id, double slots, double work) {
             this.link = link;
             this.id = id;
             this.slots = slots;
@@ -265,43 +270,44 @@
             return work;
         }
 
-        private void say(String state, String rest) {
-            if (!streaming) {
-                streaming = true;
-                link.stream();
+        private void writeNote(String state, String extraFields) {
+            if (!streamStarted) {
+                streamStarted = true;
+                link.startStream();
             }
-            link.line("{\"id\":\"" + id + "\",\"from\":\"" + uid + "\",\"state\":\"" + state + "\"" + rest + "}");
+            link.writeLine(
+                    "{\"id\":\"" + id + "\",\"from\":\"" + uid + "\",\"state\":\"" + state + "\"" + extraFields + "}");
         }
 
-        private void last(String state, String rest) {
-            say(state, rest);
+        private void writeLastNote(String state, String extraFields) {
+            writeNote(state, extraFields);
             link.endStream();
         }
 
         @Override
         public void started() {
-            runs.merge(id, 1, Integer::sum);
-            say("started", "");
+            startsByJobId.merge(id, 1, Integer::sum);
+            writeNote("started", "");
         }
 
         @Override
         public void progress(double share) {
-            say("running", ",\"share\":" + Math.round(share * 1000) / 1000.0);
+            writeNote("running", ",\"share\":" + Math.round(share * 1000) / 1000.0);
         }
 
         @Override
         public void done() {
-            last("done", ",\"result\":\"" + id + " by " + uid + "\"");
+            writeLastNote("done", ",\"result\":\"" + id + " by " + uid + "\"");
         }
 
         @Override
         public void failed() {
-            last("failed", "");
+            writeLastNote("failed", "");
         }
 
         @Override
         public void returned() {
-            last("returned", "");
+            writeLastNote("returned", "");
         }
 
         @Override
--- a/src/test/java/barrowshore/fleet/FleetTest.java
+++ b/src/test/java/barrowshore/fleet/FleetTest.java
@@ -29,7 +29,7 @@
                         + " length=\"8s\" " + attributes + ">\n" + faults + "\n</fleet>");
     }
 
-    private static List<ProcessHandle> ours() {
+    private static List<ProcessHandle> schedulerProcesses() {
         return ProcessHandle.current()
                 .descendants()
                 .filter(p -> p.info().commandLine().orElse("").contains("serve"))
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void fiveProcessesUnderFaultsKeepWhatMustHold() throws Exception {
+    void fiveProcessesUnderFaultsKeepInvariants() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Fleet.Outcome outcome = Fleet.run(
                 scenario(
@@ -55,7 +55,7 @@
                 new PrintStream(out, true));
         assertThat(outcome.violations()).as(out.toString()).isEmpty();
         assertThat(outcome.answers().get("served")).as(out.toString()).isPositive();
-        assertThat(ours()).isEmpty();
+        assertThat(schedulerProcesses()).isEmpty();
         assertThat(Files.readString(folder.resolve("events.jsonl")))
                 .contains("\"kill\"", "\"ready\"", "\"whole again\"");
         assertThat(Files.readAllLines(folder.resolve("figures.csv"))).hasSize(10);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void oneThatDoesNotComeUpIsAnErrorThatNamesItsLog() throws Exception {
+    void failedStartIsAnErrorThatNamesItsLog() throws Exception {
         Path deploy = folder.resolve("deploy.toml");
         Files.writeString(deploy, "run = \"exec java -Xmx1k -jar target/x.jar serve\"\n");
         assertThatThrownBy(
@@ -73,7 +73,7 @@
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("before it was ready")
                 .hasMessageContaining("n0.log");
-        assertThat(ours()).isEmpty();
+        assertThat(schedulerProcesses()).isEmpty();
         Files.writeString(deploy, "run = \"sleep 9\"\n");
         assertThatThrownBy(
                         () -> Fleet.run(scenario("", ""), folder, deploy, new PrintStream(new ByteArrayOutputStream())))
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void moreThanTheMemoryHoldsIsNotStarted() {
+    void startsNothingWhenMemoryIsShort() {
         assertThatThrownBy(() -> Fleet.run(
                         new FleetScenario("huge", 900_000, 1, 1, 1, 1, 0, List.of()),
                         folder,
@@ -108,15 +108,15 @@
                 "<burn worker='1'/>|burn",
                 "<slow worker='1' at='1s' for='1s'/>|factor"
             })
-    void aWrongScenarioIsNamedByLine(String faults, String says) {
+    void invalidScenarioErrorNamesTheLine(String faults, String expectedText) {
         assertThatThrownBy(() -> scenario("", faults.replace('\'', '"')))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("line 2")
-                .hasMessageContaining(says);
+                .hasMessageContaining(expectedText);
     }
 
     @Test
-    void someoneHasToBeLeft() {
+    void scenarioThatStopsEverySchedulerIsRejected() {
         assertThatThrownBy(
                         () -> FleetScenario.parse("<fleet xmlns=\"urn:barrowshore:fleet:1\" name=\"x\" schedulers=\"1\""
                                 + " workers=\"1\" rate=\"1\" length=\"8s\"><kill scheduler=\"0\" at=\"1s\"/></fleet>"))
@@ -135,7 +135,7 @@
                 "HTTP/1.1 200 OK~Content-Len|NONE",
                 "''|NONE"
             })
-    void anAnswerIsWholeOrNone(String text, Answer answer) {
-        assertThat(Clients.answer(text.replace("~", "\r\n"))).isEqualTo(answer);
+    void incompleteAnswerCountsAsNone(String text, Answer answer) {
+        assertThat(LoadGenerator.classifyAnswer(text.replace("~", "\r\n"))).isEqualTo(answer);
     }
 }
--- a/src/test/java/barrowshore/fleet/InvariantsTest.java
+++ b/src/test/java/barrowshore/fleet/InvariantsTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import barrowshore.fleet.Invariants.Answer;
-import barrowshore.fleet.Invariants.Asked;
+import barrowshore.fleet.Invariants.JobRecord;
 import barrowshore.fleet.Invariants.Outage;
-import barrowshore.fleet.Invariants.Worked;
+import barrowshore.fleet.Invariants.WorkerRecord;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -14,15 +14,15 @@
 
 /** Each invariant is seen to be broken where it is, and not where it is not. */
 class InvariantsTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    private static Asked asked(boolean unsafe, Answer answer) {
-        return new Asked("j-1", unsafe, 2, 10 * S, 11 * S, 13 * S, answer);
+    private static JobRecord jobRecord(boolean unsafe, Answer answer) {
+        return new JobRecord("j-1", unsafe, 2, 10 * SECOND_MICROS, 11 * SECOND_MICROS, 13 * SECOND_MICROS, answer);
     }
 
-    private static List<String> broken(Asked asked, int runs, List<Outage> outages) {
-        return Invariants.broken(
-                List.of(asked), runs == 0 ? Map.of() : Map.of("j-1", runs), outages, List.of(), List.of());
+    private static List<String> violations(JobRecord job, int starts, List<Outage> outages) {
+        return Invariants.findViolations(
+                List.of(job), starts == 0 ? Map.of() : Map.of("j-1", starts), outages, List.of(), List.of());
     }
 
     @ParameterizedTest
@@ -39,34 +39,37 @@
         "true, REFUSED, 0, ''",
         "true, NONE, 1, no answer"
     })
-    void whatAJobMayComeTo(boolean unsafe, Answer answer, int runs, String says) {
-        List<String> broken = broken(asked(unsafe, answer), runs, List.of());
-        if (says.isEmpty()) {
-            assertThat(broken).isEmpty();
+    void eachJobIsChecked(boolean unsafe, Answer answer, int starts, String expectedText) {
+        List<String> violations = violations(jobRecord(unsafe, answer), starts, List.of());
+        if (expectedText.isEmpty()) {
+            assertThat(violations).isEmpty();
         } else {
-            assertThat(broken).singleElement().asString().contains(says, "j-1");
+            assertThat(violations).singleElement().asString().contains(expectedText, "j-1");
         }
     }
 
     /** Who is killed or stands still owes no answer to what it held, and to nothing else. */
     @ParameterizedTest
     @CsvSource({"2, 9, 12, true", "2, 12, 20, true", "2, 14, 20, false", "2, 3, 9, false", "1, 9, 12, false"})
-    void anOutageExcusesWhatWasHeldInIt(int scheduler, long from, long to, boolean excused) {
-        assertThat(broken(asked(false, Answer.NONE), 0, List.of(new Outage(scheduler, from * S, to * S)))
+    void outageExcusesOnlyJobsThatOverlapIt(int scheduler, long from, long to, boolean excused) {
+        assertThat(violations(
+                                jobRecord(false, Answer.NONE),
+                                0,
+                                List.of(new Outage(scheduler, from * SECOND_MICROS, to * SECOND_MICROS)))
                         .isEmpty())
                 .isEqualTo(excused);
     }
 
     @Test
-    void workersAndProcessesAreLookedAt() {
-        assertThat(Invariants.broken(
-                        List.of(), Map.of(), List.of(), List.of(new Worked("s-0", 0, false, 0.9)), List.of()))
+    void workersAndProcessesAreChecked() {
+        assertThat(Invariants.findViolations(
+                        List.of(), Map.of(), List.of(), List.of(new WorkerRecord("s-0", 0, false, 0.9)), List.of()))
                 .isEmpty();
-        assertThat(Invariants.broken(
+        assertThat(Invariants.findViolations(
                         List.of(),
                         Map.of(),
                         List.of(),
-                        List.of(new Worked("s-1", 3, false, 0), new Worked("s-2", 0, true, 1.2)),
+                        List.of(new WorkerRecord("s-1", 3, false, 0), new WorkerRecord("s-2", 0, true, 1.2)),
                         List.of("scheduler 4, process 77")))
                 .containsExactly(
                         "3 jobs after the grace of its drain: s-1",
--- a/src/test/java/barrowshore/standin/HallMoveTest.java
+++ b/src/test/java/barrowshore/standin/HallMoveTest.java
@@ -26,15 +26,15 @@
 class HallMoveTest {
     private static final int CLIENTS = 6;
 
-    private final AtomicInteger next = new AtomicInteger();
+    private final AtomicInteger lastJobNumber = new AtomicInteger();
     private final Map<String, String> answers = new ConcurrentHashMap<>();
 
     /** One job over a connection of its own, as a careless client would; the whole answer. */
-    private String ask(InetSocketAddress at, String type, String id) throws Exception {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+    private String sendJob(InetSocketAddress address, String className, String id) throws Exception {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream()
-                    .write(("POST /" + type + "?work=40 HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id
-                                    + "\r\nX-Priority-Class: " + type
+                    .write(("POST /" + className + "?work=40 HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id
+                                    + "\r\nX-Priority-Class: " + className
                                     + "\r\nX-Timeout-Ms: 3000\r\nContent-Length: 1\r\n"
                                     + "Connection: close\r\n\r\nx")
                             .getBytes(StandardCharsets.ISO_8859_1));
@@ -44,56 +44,57 @@
     }
 
     /** So many jobs at both entrances, a few at a time. */
-    private void jobs(StandInSite site, int count) throws Exception {
+    private void sendJobs(StandInSite site, int count) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        List<Future<?>> all = new ArrayList<>();
-        for (int k = 0; k < count; k++) {
-            all.add(clients.submit(() -> {
-                int number = next.incrementAndGet();
-                String type = StandInConfig.CLASSES.get(number % 2), id = type + "-" + number;
-                String before = answers.put(id, ask(site.entrance(number / 2 % 2), type, id));
-                assertThat(before).isNull();
+        List<Future<?>> sent = new ArrayList<>();
+        for (int index = 0; index < count; index++) {
+            sent.add(clients.submit(() -> {
+                int number = lastJobNumber.incrementAndGet();
+                String className = StandInConfig.CLASSES.get(number % 2), id = className + "-" + number;
+                String previousAnswer = answers.put(id, sendJob(site.clientAddress(number / 2 % 2), className, id));
+                assertThat(previousAnswer).isNull();
                 return null;
             }));
         }
-        for (Future<?> one : all) {
-            one.get();
+        for (Future<?> job : sent) {
+            job.get();
         }
         clients.shutdown();
     }
 
     @Test
-    void everyFlowIsAnsweredAndNothingRunsTwiceWhileAHallFlaps() throws Exception {
+    void everyJobIsAnsweredAndNoAtMostOnceJobRunsTwiceWhileAHallFlaps() throws Exception {
         try (StandInSite site = new StandInSite(3, new OperatorSettings(OperatorSettings.HallSettings.defaults()))) {
             site.awaitReady();
-            jobs(site, 60);
+            sendJobs(site, 60);
             for (int flap = 0; flap < 2; flap++) {
-                site.lose(0);
-                jobs(site, 120);
-                site.regain(0);
-                jobs(site, 300);
+                site.crashHall(0);
+                sendJobs(site, 120);
+                site.restartHall(0);
+                sendJobs(site, 300);
             }
-            List<StandInWorker.Counters> counts = site.counts();
+            List<StandInWorker.Counters> workerCounters = site.workerCounters();
             assertThat(answers)
-                    .hasSize(next.get())
+                    .hasSize(lastJobNumber.get())
                     .allSatisfy((id, answer) -> assertThat(answer).as(id).matches("(?s)HTTP/1.1 (200|502|503|504) .*"));
             assertThat(answers.values())
                     .filteredOn(a -> a.startsWith("HTTP/1.1 503"))
                     .allMatch(a -> a.contains("Retry-After"));
-            assertThat(counts)
+            assertThat(workerCounters)
                     .noneMatch(StandInWorker.Counters::failedFromOverload)
                     .allMatch(c -> c.coldBudgetUsed() < 1);
-            Map<String, Integer> runs = new ConcurrentHashMap<>();
-            counts.forEach(c -> c.startsByJobId().forEach((id, n) -> runs.merge(id, n, Integer::sum)));
-            assertThat(runs).allSatisfy((id, n) -> {
+            Map<String, Integer> startsByJobId = new ConcurrentHashMap<>();
+            workerCounters.forEach(
+                    c -> c.startsByJobId().forEach((id, starts) -> startsByJobId.merge(id, starts, Integer::sum)));
+            assertThat(startsByJobId).allSatisfy((id, starts) -> {
                 if (id.startsWith("objednavka")) {
-                    assertThat(n).as(id).isEqualTo(1);
+                    assertThat(starts).as(id).isEqualTo(1);
                 }
             });
             // What was served ran, and most was: a hall is left all the time.
             answers.forEach((id, answer) -> {
                 if (answer.startsWith("HTTP/1.1 200")) {
-                    assertThat(runs).containsKey(id);
+                    assertThat(startsByJobId).containsKey(id);
                 }
             });
             assertThat(answers.values())
--- a/src/test/java/barrowshore/standin/WatchedServersTest.java
+++ b/src/test/java/barrowshore/standin/WatchedServersTest.java
@@ -36,26 +36,26 @@
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class WatchedServersTest {
     @TempDir
-    Path dir;
+    Path folder;
 
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
     private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
-    private final List<StandInWorker> nodes = new ArrayList<>();
-    private final AtomicInteger ids = new AtomicInteger();
-    private StandInListener front;
+    private final List<StandInWorker> workers = new ArrayList<>();
+    private final AtomicInteger lastJobNumber = new AtomicInteger();
+    private StandInListener listener;
     private JobScheduler scheduler;
 
     @BeforeEach
     void start() throws Exception {
         timers.start();
-        front = new StandInListener(pool, timers, 2048);
-        for (int n = 0; n < 4; n++) {
-            nodes.add(new StandInWorker(
-                    "s" + n,
+        listener = new StandInListener(pool, timers, 2048);
+        for (int number = 0; number < 4; number++) {
+            workers.add(new StandInWorker(
+                    "s" + number,
                     new WorkerModel.Spec(4, 1, 40, true, 0.3, 6_000_000),
                     new WorkerModel.OverloadLimit(3, 2_000_000, 150_000),
                     500_000,
-                    front,
+                    listener,
                     pool,
                     timers));
         }
@@ -64,26 +64,26 @@
     @AfterEach
     void stop() throws Exception {
         scheduler.stop();
-        nodes.forEach(StandInWorker::stop);
-        front.stop();
+        workers.forEach(StandInWorker::stop);
+        listener.stop();
         LifeCycle.stop(timers);
         pool.shutdownNow();
     }
 
-    private String list(long revision, boolean force, int... named) {
+    private String serversXml(long revision, boolean force, int... workerNumbers) {
         StringBuilder out = new StringBuilder("<servers xmlns=\"urn:barrowshore:servers:1\" revision=\"" + revision
                 + "\" force=\"" + force + "\" grace=\"100ms\"><networks><network block=\"127.0.0.0/8\"/></networks>\n");
-        for (int n : named) {
+        for (int number : workerNumbers) {
             out.append("<server uid=\"s")
-                    .append(n)
+                    .append(number)
                     .append("\" endpoint=\"127.0.0.1:")
-                    .append(nodes.get(n).address().getPort())
+                    .append(workers.get(number).address().getPort())
                     .append("\" hall=\"a\" model=\"m\" weight=\"4\" warm=\"true\"/>\n");
         }
         return out.append("</servers>\n").toString();
     }
 
-    private void serve(Path file) throws Exception {
+    private void startScheduler(Path file) throws Exception {
         String config = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replace("$S", "127.0.0.1:7")
                 .replace("$D", "127.0.0.1:9")
@@ -94,13 +94,13 @@
     }
 
     /** One job, and its whole answer. */
-    private String ask() throws Exception {
+    private String sendJob() throws Exception {
         try (Socket socket =
                 new Socket(InetAddress.getLoopbackAddress(), scheduler.address().getPort())) {
-            String type = ids.get() % 2 == 0 ? "menu" : "order";
+            String className = lastJobNumber.get() % 2 == 0 ? "menu" : "order";
             socket.getOutputStream()
-                    .write(("POST /" + type + "?work=5 HTTP/1.1\r\nHost: x\r\nX-Request-ID: j"
-                                    + ids.incrementAndGet() + "\r\nX-Priority-Class: " + type
+                    .write(("POST /" + className + "?work=5 HTTP/1.1\r\nHost: x\r\nX-Request-ID: j"
+                                    + lastJobNumber.incrementAndGet() + "\r\nX-Priority-Class: " + className
                                     + "\r\nX-Tenant-Id: acme\r\n"
                                     + "X-Timeout-Ms: 3000\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx")
                             .getBytes(StandardCharsets.ISO_8859_1));
@@ -108,36 +108,36 @@
         }
     }
 
-    private void askUntilServedBy(String uid) throws Exception {
+    private void sendJobsUntilServedBy(String uid) throws Exception {
         String answer = "";
         while (!answer.matches("(?s)HTTP/1.1 200 .*by " + uid + ".*")) {
-            answer = ask();
+            answer = sendJob();
             assertThat(answer).matches("(?s)HTTP/1.1 (200|503) .*");
         }
     }
 
     @Test
-    void aFileRewrittenAllTheTimeIsOnlyEverTakenWhole() throws Exception {
-        Path file = dir.resolve("servers.xml"), fresh = dir.resolve("fresh.xml");
-        Files.writeString(file, list(1, false, 0, 1));
-        serve(file);
-        askUntilServedBy("s"); // whichever: one alone asked may keep getting all
+    void onlyCompleteFilesAreApplied() throws Exception {
+        Path file = folder.resolve("servers.xml"), newFile = folder.resolve("fresh.xml");
+        Files.writeString(file, serversXml(1, false, 0, 1));
+        startScheduler(file);
+        sendJobsUntilServedBy("s"); // whichever: one alone asked may keep getting all
         CompletableFuture<Long> writer = CompletableFuture.supplyAsync(() -> {
-            Random chance = new Random(1);
+            Random random = new Random(1);
             long revision = 1;
             try {
                 for (int k = 0; k < 1500; k++) {
-                    switch (chance.nextInt(4)) {
+                    switch (random.nextInt(4)) {
                         case 0 -> { // whole, by rename
-                            Files.writeString(fresh, list(++revision, false, 0, 1, 2));
-                            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+                            Files.writeString(newFile, serversXml(++revision, false, 0, 1, 2));
+                            Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE);
                         }
                         case 1 -> { // cut off somewhere, naming a server that no whole list names
-                            String bad = list(++revision, true, 0, 1, 3);
-                            Files.writeString(file, bad.substring(0, chance.nextInt(bad.length() - 12)));
+                            String badList = serversXml(++revision, true, 0, 1, 3);
+                            Files.writeString(file, badList.substring(0, random.nextInt(badList.length() - 12)));
                         }
                         case 2 -> Files.writeString(
-                                file, list(++revision, true, 0, 1, 3).replace("weight=\"4\"", "weight=\"lots\""));
+                                file, serversXml(++revision, true, 0, 1, 3).replace("weight=\"4\"", "weight=\"lots\""));
                         default -> Files.deleteIfExists(file);
                     }
                 }
@@ -146,46 +146,46 @@
             }
             return revision;
         });
-        int asked = 0;
-        while (!writer.isDone() || asked < 200) {
-            assertThat(ask()).matches("(?s)HTTP/1.1 (200|503) .*");
-            asked++;
+        int sentJobs = 0;
+        while (!writer.isDone() || sentJobs < 200) {
+            assertThat(sendJob()).matches("(?s)HTTP/1.1 (200|503) .*");
+            sentJobs++;
         }
         long revision = writer.join();
         // The first two are taken away: they drain, then get nothing more.
-        Files.writeString(fresh, list(revision + 1, true, 2));
-        Files.move(fresh, file, StandardCopyOption.REPLACE_EXISTING);
-        askUntilServedBy("s2");
-        int inARow = 0;
-        while (inARow < 40) {
-            inARow = ask().endsWith("by s2") ? inARow + 1 : 0;
+        Files.writeString(newFile, serversXml(revision + 1, true, 2));
+        Files.move(newFile, file, StandardCopyOption.REPLACE_EXISTING);
+        sendJobsUntilServedBy("s2");
+        int servedInARow = 0;
+        while (servedInARow < 40) {
+            servedInARow = sendJob().endsWith("by s2") ? servedInARow + 1 : 0;
         }
-        int[] before = {
-            nodes.get(0).counters().join().startsByJobId().size(),
-            nodes.get(1).counters().join().startsByJobId().size()
+        int[] startsBefore = {
+            workers.get(0).counters().join().startsByJobId().size(),
+            workers.get(1).counters().join().startsByJobId().size()
         };
         for (int k = 0; k < 40; k++) {
-            assertThat(ask()).matches("(?s)HTTP/1.1 200 .*by s2");
+            assertThat(sendJob()).matches("(?s)HTTP/1.1 200 .*by s2");
         }
-        assertThat(nodes.get(0).counters().join().startsByJobId()).hasSize(before[0]);
-        assertThat(nodes.get(1).counters().join().startsByJobId()).hasSize(before[1]);
-        assertThat(nodes.get(3).counters().join().startsByJobId()).isEmpty();
-        assertThat(nodes)
-                .allSatisfy(n ->
-                        assertThat(n.counters().join().startsByJobId().values()).allMatch(runs -> runs == 1));
+        assertThat(workers.get(0).counters().join().startsByJobId()).hasSize(startsBefore[0]);
+        assertThat(workers.get(1).counters().join().startsByJobId()).hasSize(startsBefore[1]);
+        assertThat(workers.get(3).counters().join().startsByJobId()).isEmpty();
+        assertThat(workers).allSatisfy(worker -> assertThat(
+                        worker.counters().join().startsByJobId().values())
+                .allMatch(runs -> runs == 1));
     }
 
     @Test
-    void whatTakesTooMuchAwayIsHeldAndWhatIsInUseStays() throws Exception {
-        Path file = dir.resolve("servers.xml");
-        Files.writeString(file, list(1, false, 0, 1));
-        serve(file);
-        askUntilServedBy("s"); // whichever: one alone asked may keep getting all
-        Files.writeString(file, list(2, false));
+    void listThatRemovesTooMuchIsHeldUntilForced() throws Exception {
+        Path file = folder.resolve("servers.xml");
+        Files.writeString(file, serversXml(1, false, 0, 1));
+        startScheduler(file);
+        sendJobsUntilServedBy("s"); // whichever: one alone asked may keep getting all
+        Files.writeString(file, serversXml(2, false));
         for (int k = 0; k < 50; k++) {
-            assertThat(ask()).startsWith("HTTP/1.1 200");
+            assertThat(sendJob()).startsWith("HTTP/1.1 200");
         }
-        Files.writeString(file, list(3, true, 2));
-        askUntilServedBy("s2");
+        Files.writeString(file, serversXml(3, true, 2));
+        sendJobsUntilServedBy("s2");
     }
 }
