--- a/src/main/java/barrowshore/standin/Demo.java
+++ b/src/main/java/barrowshore/standin/Demo.java
@@ -18,13 +18,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A site that anybody can watch: two halls, two schedulers, a light load, and a hall that is lost and regained. It owns
- * the load's clients and what is printed; everything runs in this process and ends with it.
+ * The demo command: runs a {@link StandInSite} under a light load, crashes one hall, restarts it, and prints a line each
+ * second. It owns the site and the load's threads; everything runs in this process and ends with it.
  */
 public final class Demo {
     private static final int WORKERS_PER_HALL = 3;
     private static final int CRASH_SECOND = 10, DELIST_SECOND = 15, RESTART_SECOND = 20, DURATION_SECONDS = 36;
-    /** Jobs a second at each hall: a light load. */
     private static final int JOBS_PER_SECOND_PER_HALL = 12;
 
     private static final List<Integer> JOB_WORK_MILLIS = List.of(60, 120);
@@ -36,7 +35,7 @@
 
     private Demo() {}
 
-    /** Plays it; hold: it goes on, with everything well again, until it is stopped. */
+    /** Runs the demo; keepRunning: the load goes on after the hall has recovered, until the process is stopped. */
     public static void play(PrintStream out, boolean keepRunning) throws Exception {
         new Demo().run(out, keepRunning);
     }
@@ -118,7 +117,7 @@
     }
 
     private static Thread daemonThread(Runnable task) {
-        Thread thread = new Thread(task, "the demo's clients");
+        Thread thread = new Thread(task, "demo clients");
         thread.setDaemon(true);
         return thread;
     }
@@ -131,7 +130,7 @@
         return sum;
     }
 
-    /** Each hall, as its own scheduler sees it. */
+    /** Returns each hall's state as its own scheduler sees it. */
     private static String formatHallStates(StandInSite site) throws Exception {
         StringBuilder line = new StringBuilder();
         for (int hall = 0; hall < 2; hall++) {
--- a/src/main/java/barrowshore/standin/StandInConfig.java
+++ b/src/main/java/barrowshore/standin/StandInConfig.java
@@ -5,31 +5,32 @@
 import java.util.stream.Collectors;
 
 /**
- * What a scheduler before stand-ins is told: a configuration in the platform's form. It owns these figures alone. Times are
- * short so that a return can be watched: warm after 6 s.
+ * Builds the configuration of schedulers that run against stand-ins, in the platform's JSON format. It owns the constants
+ * that schedulers and stand-in workers must agree on. Warm-up is short, so that a recovery can be watched.
  */
 public final class StandInConfig {
-    /** The classes, as their paths name them; the second may not run twice. */
+    /** The job classes, as in request paths; jobs of the second one are at-most-once. */
     public static final List<String> CLASSES = List.of("menu-cteni", "objednavka");
 
     public static final List<String> HALLS = List.of("hala-a", "hala-b");
-    /** Microseconds until a node is warm, and the window of the rule on cold ones. */
+    /** Time until a worker is warm, and the window over which arrivals at a cold worker are counted. */
     public static final long WARM_UP_MICROS = 6_000_000, OVERLOAD_WINDOW_MICROS = 2_000_000;
 
+    /** The multiple of its present capacity at which a cold worker fails, and the share of capacity right after a start. */
     public static final double OVERLOAD_MULTIPLE = 3, START_CAPACITY = 0.3;
-    /** Work of a usual job, and the time between notes of progress, microseconds. */
+    /** Work of an average job at speed 1. */
     public static final double MEAN_JOB_MICROS = 150_000;
 
     public static final long PROGRESS_INTERVAL_MICROS = 500_000;
 
     private StandInConfig() {}
 
-    /** An address as configurations have it. */
+    /** Formats an address as configurations have it: host:port. */
     public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** A configuration: who it is among how many peers, where it listens, and where all that it talks to is. */
+    /** Returns the configuration of the scheduler with that number; broadcastAddress reaches all of its peers. */
     public static String toJson(
             String name,
             InetSocketAddress listen,
--- a/src/main/java/barrowshore/standin/StandInDiscovery.java
+++ b/src/main/java/barrowshore/standin/StandInDiscovery.java
@@ -16,15 +16,15 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A stand-in for discovery on a loopback socket, written from the protocol's pages: the whole list, and watches that
- * tell changes. An actor; it owns the list and the watches' connections.
+ * A stand-in for service discovery on a loopback socket, written from the protocol's specification: it serves the
+ * complete list and streams changes to watches. An actor; it owns the list and the connections to it.
  */
 public final class StandInDiscovery {
     private static final long HEARTBEAT_MILLIS = 2000;
-    /** Bytes of a TCP segment's content, of its heads (IP 20, TCP 20, its time stamps 12), and a line's end. */
+    /** Content of a full TCP segment; its headers (IP 20, TCP 20, time stamp option 12); CR LF. */
     private static final int SEGMENT_CONTENT_BYTES = 1448, SEGMENT_HEADER_BYTES = 52, LINE_END_BYTES = 2;
 
-    /** What its connections have carried since the start: calls that came, and bytes both ways, with TCP's heads. */
+    /** Totals since the start over all connections: requests received, and bytes both ways, with TCP/IP headers. */
     public record Traffic(long calls, long bytes) {}
 
     private final Mailbox mailbox;
@@ -37,7 +37,7 @@
     private boolean stopped, silent;
     private final AtomicLong requestCount = new AtomicLong(), byteCount = new AtomicLong();
 
-    /** Starts with an empty list, on a free port. */
+    /** Starts on a free port with an empty list. */
     public StandInDiscovery(StandInListener listener, ExecutorService pool, Scheduler timers) throws IOException {
         this.timers = timers;
         mailbox = new Mailbox("stand-in discovery", pool);
@@ -51,7 +51,7 @@
                 () -> mailbox.post(() -> {
                     if (!stopped) {
                         if (!silent) {
-                            watchLinks.forEach(w -> w.writeLine(""));
+                            watchLinks.forEach(watch -> watch.writeLine(""));
                         }
                         scheduleHeartbeat();
                     }
@@ -64,7 +64,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Tells of a node; state: Ready, Terminating or Gone. bootMillis 0: long ago. */
+    /** Adds, changes or (Gone) removes a worker. state: Ready, Terminating or Gone; bootMillis: Unix time, 0: long ago. */
     public void publish(
             String uid,
             InetSocketAddress endpoint,
@@ -91,12 +91,12 @@
             revision++;
             if (!silent) {
                 String line = formatList(false, new Object[] {entry});
-                watchLinks.forEach(w -> w.writeLine(line));
+                watchLinks.forEach(watch -> watch.writeLine(line));
             }
         });
     }
 
-    /** What has been carried so far, as it would be on a network: each write in segments of its own, one answered by one. */
+    /** Traffic so far, as on a network where no write shares a segment with another and each segment is acknowledged. */
     public Traffic traffic() {
         return new Traffic(requestCount.get(), byteCount.get());
     }
@@ -106,13 +106,13 @@
         byteCount.addAndGet(contentBytes + 2L * SEGMENT_HEADER_BYTES * segments);
     }
 
-    /** It answers nothing and tells nothing, or tells all of its list to whoever watches. */
+    /** While silent, nothing is answered or sent; afterwards, every watch gets the complete list. */
     public void setSilent(boolean enabled) {
         mailbox.post(() -> {
             silent = enabled;
             if (!enabled) {
-                watchLinks.forEach(
-                        w -> w.writeLine(formatList(true, entriesByUid.values().toArray())));
+                watchLinks.forEach(watch ->
+                        watch.writeLine(formatList(true, entriesByUid.values().toArray())));
             }
         });
     }
@@ -125,7 +125,7 @@
         return new JSON().toJSON(root);
     }
 
-    /** Stops for good. */
+    /** Closes the port and all watches for good. */
     public void stop() {
         mailbox.post(() -> {
             stopped = true;
@@ -153,7 +153,7 @@
             }
             countBytes(headBytes + body.length());
             if (silent) {
-                return; // it is down: nothing is said, and the connection stays
+                return; // simulates an unresponsive discovery: the connection stays open
             }
             if (!target.startsWith("/api/targets")) {
                 answer(404, "", "");
@@ -163,8 +163,8 @@
                 startStream();
                 watchLinks.add(this);
                 if (!target.endsWith("after=" + revision)) {
-                    writeLine(formatList(
-                            true, entriesByUid.values().toArray())); // what changed since is not kept: all of it
+                    // No history of changes is kept, so the complete list is sent.
+                    writeLine(formatList(true, entriesByUid.values().toArray()));
                 }
             }
         }
--- a/src/main/java/barrowshore/standin/StandInLink.java
+++ b/src/main/java/barrowshore/standin/StandInLink.java
@@ -17,8 +17,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A stand-in's side of one connection: reads requests one at a time, writes whole answers or chunks in order. It owns
- * what is still to be written; what the requests mean, its subclass knows.
+ * A stand-in's side of one HTTP connection: reads requests one at a time and writes complete or chunked answers in order.
+ * It owns the bytes not yet written; subclasses handle the requests.
  */
 abstract class StandInLink extends HttpLink implements HttpParser.RequestHandler, ConnectionManager.AcceptedConnection {
     private final Deque<byte[]> unwritten = new ArrayDeque<>();
@@ -34,10 +34,10 @@
         parser = new HttpParser((HttpParser.RequestHandler) this);
     }
 
-    /** A whole request has come. */
+    /** Called for each complete request; header names are in lower case. */
     abstract void handleRequest(String method, String target, Map<String, String> headers, String body);
 
-    /** Writes a whole answer, after which the next request is read. */
+    /** Writes a complete answer; then the next request is read. extraHeaders: lines with their CR LF. */
     void answer(int status, String extraHeaders, String content) {
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
         enqueue("HTTP/1.1 " + status + " -\r\n" + extraHeaders + "Content-Length: " + bytes.length + "\r\n\r\n"
@@ -45,18 +45,18 @@
         readNextRequest();
     }
 
-    /** Begins an answer in chunks. */
+    /** Starts a chunked answer. */
     void startStream() {
         enqueue("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /** A line of it, in a chunk of its own. */
+    /** Writes a line of a chunked answer, in a chunk of its own. */
     void writeLine(String text) {
         byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
         enqueue(Integer.toHexString(bytes.length) + "\r\n" + text + "\n\r\n");
     }
 
-    /** Its end, after which the next request is read. */
+    /** Ends a chunked answer; then the next request is read. */
     void endStream() {
         enqueue("0\r\n\r\n");
         readNextRequest();
@@ -68,7 +68,7 @@
         mailbox.post(this::read);
     }
 
-    /** So many bytes are on their way to the peer, in one write. */
+    /** Called as bytes are queued to be sent to the peer, in one write. */
     void onWrite(int bytes) {}
 
     private void enqueue(String text) {
--- a/src/main/java/barrowshore/standin/StandInListener.java
+++ b/src/main/java/barrowshore/standin/StandInListener.java
@@ -17,19 +17,18 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One selector for all stand-ins of a process, each behind a loopback port of its own. It owns the selector and the
- * listening sockets, and must never listen elsewhere than on loopback.
+ * Accepts the connections to all stand-ins of a process, each on a port of its own, with one selector. It owns the
+ * selector and the listening sockets, and must listen on loopback only.
  */
 public final class StandInListener {
     private static final int BACKLOG = 256;
 
-    /** A port that is listened on. */
     private record ListeningPort(ServerSocketChannel channel, Function<EndPoint, Connection> connectionFactory) {}
 
     private final Map<Integer, ListeningPort> listeningPorts = new ConcurrentHashMap<>();
     private final ConnectionManager connectionManager;
 
-    /** most: connections to all of its doors together. */
+    /** maxConnections: over all ports together. */
     public StandInListener(Executor pool, Scheduler timers, int maxConnections) throws Exception {
         connectionManager = new ConnectionManager(pool, timers, 1, maxConnections, 1000, this::openConnection);
         connectionManager.start();
@@ -38,12 +37,12 @@
     private Connection openConnection(EndPoint endPoint) {
         ListeningPort listening = listeningPorts.get(((InetSocketAddress) endPoint.getLocalSocketAddress()).getPort());
         if (listening == null) {
-            throw new IllegalStateException("nobody listens there any more");
+            throw new IllegalStateException("the port of this connection was closed after the connection was accepted");
         }
         return listening.connectionFactory.apply(endPoint);
     }
 
-    /** Listens on a port (0: a free one) until it is closed; returns the port. */
+    /** Listens on a port (0: any free one) until {@link #close}; returns the port. */
     int open(int port, Function<EndPoint, Connection> connectionFactory) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
@@ -59,13 +58,13 @@
         return boundPort;
     }
 
-    /** Refuses new connections there; the port is free again a little later, when the selector has let go. */
+    /** Refuses new connections; the port is free again a little later, once the selector has released its channel. */
     void close(int port) {
         ListeningPort listening = listeningPorts.remove(port);
         if (listening != null) {
             try {
                 listening.channel.close();
-                // The selector lets go only in its next turn, and where nothing else happens there is none.
+                // The selector releases a closed channel in its next select, which nothing else may trigger.
                 connectionManager.getBean(ManagedSelector.class).submit(keys -> {});
             } catch (IOException e) {
                 throw new IllegalStateException(e);
@@ -73,7 +72,7 @@
         }
     }
 
-    /** Closes all doors. */
+    /** Closes all ports and connections. */
     public void stop() {
         listeningPorts.keySet().forEach(this::close);
         LifeCycle.stop(connectionManager);
--- a/src/main/java/barrowshore/standin/StandInSite.java
+++ b/src/main/java/barrowshore/standin/StandInSite.java
@@ -24,8 +24,9 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A small site on loopback sockets: halls of stand-in nodes, a stand-in discovery, and real schedulers, all in this
- * process. It owns them from start to stop. Two schedulers at most: they reach each other without the platform's help.
+ * A small site on loopback sockets: two halls of stand-in workers, a stand-in discovery, and a real scheduler for each
+ * hall, all in this process. It owns them from start to stop. There are no more than two schedulers, as each has the
+ * other's address in place of the platform's address for all peers.
  */
 public final class StandInSite implements AutoCloseable {
     private static final List<String> HALLS = StandInConfig.HALLS;
@@ -36,14 +37,14 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
+    private final Scheduler timers = new ScheduledExecutorScheduler("stand-in timers", true, 1);
     private final StandInListener listener;
     private final StandInDiscovery discovery;
     private final List<List<StandInWorker>> workersByHall = new ArrayList<>();
     private final Map<String, Long> bootMillisByUid = new HashMap<>();
     private final List<JobScheduler> schedulers = new ArrayList<>();
 
-    /** Starts halls of so many nodes and a scheduler in each. */
+    /** Starts the workers of each hall, then the schedulers. */
     public StandInSite(int workersPerHall, OperatorSettings operator) throws Exception {
         timers.start();
         listener = new StandInListener(pool, timers, MAX_CONNECTIONS);
@@ -113,7 +114,6 @@
                 bootMillisByUid.getOrDefault(worker.uid(), 0L));
     }
 
-    /** The names of its halls. */
     public List<String> hallNames() {
         return HALLS;
     }
@@ -126,12 +126,12 @@
         return schedulers;
     }
 
-    /** Where the clients of a hall connect. */
+    /** Returns the address that clients of a hall connect to. */
     public InetSocketAddress clientAddress(int hall) throws Exception {
         return schedulers.get(hall).address();
     }
 
-    /** Asks both schedulers until they serve. */
+    /** Polls both schedulers until they are ready. */
     public void awaitReady() throws Exception {
         for (JobScheduler scheduler : schedulers) {
             String answer = "";
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Every node of a hall dies at once. Discovery knows nothing of it yet. */
+    /** Crashes all workers of a hall at once; discovery still lists them. */
     public void crashHall(int hall) {
         CompletableFuture.allOf(workersByHall.get(hall).stream()
                         .map(StandInWorker::crash)
@@ -155,12 +155,12 @@
                 .join();
     }
 
-    /** The list hears at last that a hall's nodes are gone. */
+    /** Removes a hall's workers from discovery. */
     public void delistHall(int hall) {
         workersByHall.get(hall).forEach(worker -> publish(hall, worker, "Gone"));
     }
 
-    /** They start again, cold, and the list says so. */
+    /** Restarts a hall's workers, which are then cold, and lists them in discovery with their start times. */
     public void restartHall(int hall) {
         for (StandInWorker worker : workersByHall.get(hall)) {
             bootMillisByUid.put(worker.uid(), worker.restart().join());
@@ -168,7 +168,7 @@
         }
     }
 
-    /** What all nodes have counted. */
+    /** Returns the counters of all workers of both halls. */
     public List<StandInWorker.Counters> workerCounters() {
         return workersByHall.stream()
                 .flatMap(List::stream)
--- a/src/main/java/barrowshore/standin/StandInWorker.java
+++ b/src/main/java/barrowshore/standin/StandInWorker.java
@@ -20,17 +20,17 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A stand-in for one order node: {@link WorkerModel} behind the platform's protocol, on a loopback socket, written from
- * the protocol's pages. An actor; it owns its listening socket, its connections and the model, and counts what runs
- * twice and what came while it was cold. It must never listen elsewhere than on loopback.
+ * A stand-in for one worker: a {@link WorkerModel} behind the platform's protocol on a loopback socket, written from the
+ * protocol's specification. An actor; it owns its port, its connections, the model and the {@link Counters}. It must
+ * listen on loopback only.
  */
 public final class StandInWorker {
-    /** Work of a job that says nothing of it, microseconds at speed 1. */
+    /** Work, at speed 1, of a job whose request does not state it. */
     private static final long DEFAULT_JOB_WORK_MICROS = 100_000;
-    /** Until a port that was just closed is tried again. */
+    /** Delay before a restart tries again to listen on its port, which stays taken for a while after a crash. */
     private static final long REOPEN_RETRY_MILLIS = 20;
 
-    /** What a node counts; runs: how often each id started; late: jobs that came after {@link #countJobsAsLateAfter}. */
+    /** Counts since the start; lateJobs: jobs that came after the time set by {@link #countJobsAsLateAfter}. */
     public record Counters(
             Map<String, Integer> startsByJobId,
             long served,
@@ -51,7 +51,7 @@
     private long lateAfterMicros = Long.MAX_VALUE;
     private int lateJobs;
 
-    /** Starts a node that has been up for long, on a free port. */
+    /** Starts a warm worker on a free port. */
     public StandInWorker(
             String uid,
             WorkerModel.Spec spec,
@@ -91,7 +91,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** The process dies: its connections are reset and new ones refused. Done when the future is. */
+    /** Simulates the death of its process: connections are closed and new ones refused once the future is complete. */
     public CompletableFuture<Void> crash() {
         return runOnMailbox(() -> {
             model.crash();
@@ -99,7 +99,7 @@
         });
     }
 
-    /** The process starts again, cold; the future holds when, in Unix time in milliseconds. */
+    /** Restarts it, cold, unless it failed from overload; the future holds the present Unix time in milliseconds. */
     public CompletableFuture<Long> restart() {
         CompletableFuture<Long> started = new CompletableFuture<>();
         mailbox.post(() -> listenAndRestart(started));
@@ -119,12 +119,12 @@
         }
     }
 
-    /** It takes work and answers nothing, or goes on. */
+    /** While hung, it accepts jobs and answers nothing. */
     public CompletableFuture<Void> setHung(boolean hung) {
         return runOnMailbox(() -> model.setHung(hung));
     }
 
-    /** Everything takes so many times as long. */
+    /** Makes all work take so many times as long. */
     public CompletableFuture<Void> setSlowdown(double factor) {
         return runOnMailbox(() -> model.setSlowdown(factor));
     }
@@ -133,17 +133,17 @@
         return runOnMailbox(() -> model.setDraining(draining));
     }
 
-    /** Jobs that come later than so many milliseconds from now are counted: its schedulers should know better by then. */
+    /** Counts jobs that arrive more than millis from now as late: schedulers must know of the drain by then. */
     public void countJobsAsLateAfter(long millis) {
         mailbox.post(() -> lateAfterMicros = clock.micros() + millis * 1000);
     }
 
-    /** Hands in a job by another way than its socket, as the last byte of a request would. */
+    /** Submits a job without a connection, as if its request had just been read completely. */
     public void offer(WorkerModel.Job job) {
         mailbox.post(() -> model.offer(job));
     }
 
-    /** The load that it would report over its socket; no answer while it hangs or is down. */
+    /** Returns the load that it would report over its socket; the future never completes if it is hung or down. */
     public CompletableFuture<Load> load() {
         CompletableFuture<Load> load = new CompletableFuture<>();
         mailbox.post(() -> {
@@ -154,7 +154,6 @@
         return load;
     }
 
-    /** What it has counted. */
     public CompletableFuture<Counters> counters() {
         CompletableFuture<Counters> counters = new CompletableFuture<>();
         mailbox.post(() -> counters.complete(new Counters(
@@ -181,7 +180,7 @@
         List.copyOf(links).forEach(WorkerLink::closeNow);
     }
 
-    /** Stops for good. */
+    /** Closes its port and connections for good. */
     public void stop() {
         runOnMailbox(this::closeAllSockets).join();
     }
@@ -225,7 +224,7 @@
             model.offer(job);
         }
 
-        /** A figure in the target's query: what a real node would find in the body. */
+        /** Reads a number from the target's query; a real worker finds it in the body. */
         private static double queryNumber(String target, String name, double defaultValue) {
             int start = target.indexOf(name + "=");
             if (start < 0) {
@@ -242,7 +241,7 @@
 
         @Override
         protected void onEnd(Throwable cause) {
-            links.remove(this); // what runs for it runs on: nothing is cancelled
+            links.remove(this); // its job goes on: workers never cancel
         }
     }
 
--- a/src/test/java/barrowshore/standin/HallMoveTest.java
+++ b/src/test/java/barrowshore/standin/HallMoveTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A hall that is lost, regained and lost again on loopback sockets, with real schedulers: every request gets its one answer,
- * nothing that must not runs twice, and no cold node is pushed over. Time passes only as jobs are answered.
+ * A hall crashes and restarts twice, with real schedulers on loopback. Every job must get one answer, no at-most-once job
+ * may run twice as jobs move to the other hall, and no cold worker may fail from overload. Nothing waits by the clock:
+ * the phases last for a number of jobs.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HallMoveTest {
@@ -29,7 +30,7 @@
     private final AtomicInteger lastJobNumber = new AtomicInteger();
     private final Map<String, String> answers = new ConcurrentHashMap<>();
 
-    /** One job over a connection of its own, as a careless client would; the whole answer. */
+    /** Sends a job over a connection of its own and returns the whole answer. */
     private String sendJob(InetSocketAddress address, String className, String id) throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream()
@@ -43,7 +44,7 @@
         }
     }
 
-    /** So many jobs at both entrances, a few at a time. */
+    /** Sends so many jobs, alternating in pairs between the schedulers, a few at a time, and waits for the answers. */
     private void sendJobs(StandInSite site, int count) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
         List<Future<?>> sent = new ArrayList<>();
@@ -91,7 +92,7 @@
                     assertThat(starts).as(id).isEqualTo(1);
                 }
             });
-            // What was served ran, and most was: a hall is left all the time.
+            // Each served job ran, and most are served, as one hall is always up.
             answers.forEach((id, answer) -> {
                 if (answer.startsWith("HTTP/1.1 200")) {
                     assertThat(startsByJobId).containsKey(id);
--- a/src/test/java/barrowshore/standin/WatchedServersTest.java
+++ b/src/test/java/barrowshore/standin/WatchedServersTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A scheduler without any discovery, whose servers come from a file that is rewritten all the time: by rename, in place,
- * cut off, and as garbage. Nothing goes to a server of a list that was not taken whole, and no request is lost.
+ * A scheduler without service discovery takes its servers from a file that is rewritten all the time: replaced by rename,
+ * truncated, invalid, or deleted. No job may go to a server of an invalid list, and each must be answered.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class WatchedServersTest {
@@ -39,7 +39,7 @@
     Path folder;
 
     private final ExecutorService pool = Executors.newFixedThreadPool(4);
-    private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
+    private final Scheduler timers = new ScheduledExecutorScheduler("stand-in timers", true, 1);
     private final List<StandInWorker> workers = new ArrayList<>();
     private final AtomicInteger lastJobNumber = new AtomicInteger();
     private StandInListener listener;
@@ -93,7 +93,7 @@
                 new OperatorSettings(null, new OperatorSettings.ServersFileSettings(file, 0.9, true, null))));
     }
 
-    /** One job, and its whole answer. */
+    /** Sends a job and returns the whole answer. */
     private String sendJob() throws Exception {
         try (Socket socket =
                 new Socket(InetAddress.getLoopbackAddress(), scheduler.address().getPort())) {
@@ -121,18 +121,18 @@
         Path file = folder.resolve("servers.xml"), newFile = folder.resolve("fresh.xml");
         Files.writeString(file, serversXml(1, false, 0, 1));
         startScheduler(file);
-        sendJobsUntilServedBy("s"); // whichever: one alone asked may keep getting all
+        sendJobsUntilServedBy("s"); // any server: one of them may keep getting all jobs
         CompletableFuture<Long> writer = CompletableFuture.supplyAsync(() -> {
             Random random = new Random(1);
             long revision = 1;
             try {
                 for (int k = 0; k < 1500; k++) {
                     switch (random.nextInt(4)) {
-                        case 0 -> { // whole, by rename
+                        case 0 -> { // complete, by rename
                             Files.writeString(newFile, serversXml(++revision, false, 0, 1, 2));
                             Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE);
                         }
-                        case 1 -> { // cut off somewhere, naming a server that no whole list names
+                        case 1 -> { // truncated, with a server that no valid list has
                             String badList = serversXml(++revision, true, 0, 1, 3);
                             Files.writeString(file, badList.substring(0, random.nextInt(badList.length() - 12)));
                         }
@@ -152,7 +152,7 @@
             sentJobs++;
         }
         long revision = writer.join();
-        // The first two are taken away: they drain, then get nothing more.
+        // Removes the first two servers: they drain, then get no more jobs.
         Files.writeString(newFile, serversXml(revision + 1, true, 2));
         Files.move(newFile, file, StandardCopyOption.REPLACE_EXISTING);
         sendJobsUntilServedBy("s2");
@@ -172,7 +172,7 @@
         assertThat(workers.get(3).counters().join().startsByJobId()).isEmpty();
         assertThat(workers).allSatisfy(worker -> assertThat(
                         worker.counters().join().startsByJobId().values())
-                .allMatch(runs -> runs == 1));
+                .allMatch(starts -> starts == 1));
     }
 
     @Test
@@ -180,7 +180,7 @@
         Path file = folder.resolve("servers.xml");
         Files.writeString(file, serversXml(1, false, 0, 1));
         startScheduler(file);
-        sendJobsUntilServedBy("s"); // whichever: one alone asked may keep getting all
+        sendJobsUntilServedBy("s"); // any server: one of them may keep getting all jobs
         Files.writeString(file, serversXml(2, false));
         for (int k = 0; k < 50; k++) {
             assertThat(sendJob()).startsWith("HTTP/1.1 200");
