--- a/src/main/java/barrowshore/fleet/Fleet.java
+++ b/src/main/java/barrowshore/fleet/Fleet.java
@@ -39,25 +39,25 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A fleet of real scheduler processes before stand-in workers on loopback, with a load and faults between them. It owns
- * everything that it starts, and ends it by its id, also when the run fails; what it finds broken it takes from clients'
- * and workers' records alone. It must never start more than the memory holds, or listen elsewhere than on loopback.
+ * Runs real scheduler processes against stand-in workers on loopback, under load and injected faults, and checks the
+ * {@link Invariants}. It owns everything that it starts and stops it by its process id, also when the run fails. It must
+ * not start more schedulers than fit into free memory, and must listen on loopback only.
  */
 public final class Fleet {
-    /** Memory that a scheduler needs at most on these runs, MiB, as measured with 60. */
+    /** The most memory that a scheduler needs on such runs, with 60 of them. */
     private static final int MIB_PER_SCHEDULER = 100;
-    /** Starts at once: each keeps a core busy for a second. */
+    /** Schedulers started at once: each start keeps a core busy for a second. */
     private static final int CONCURRENT_STARTS =
             Math.max(2, Runtime.getRuntime().availableProcessors());
-    /** When a front notices that a scheduler has died or stands still, and that one is ending, milliseconds. */
+    /** Delay until a load balancer would notice that a scheduler was killed or paused, and that one is terminating. */
     private static final long DEATH_NOTICE_MILLIS = 1_000, TERM_NOTICE_MILLIS = 300;
-    /** When discovery notices that a worker has died, and until when new work to one that drains may go on. */
+    /** Delay until discovery drops a crashed worker, and time for which new jobs may still reach a draining one. */
     private static final long WORKER_GONE_MILLIS = 500, DRAIN_GRACE_MILLIS = 3_000;
 
     private static final int MAX_CONNECTIONS = 15_000;
     private static final int CORES_PER_WORKER = 4, MAX_FAULT_THREADS = 64;
 
-    /** What came of a run: counts by answer, what is broken (empty if nothing), memory and processor time of schedulers. */
+    /** The result of a run: jobs by answer, violated invariants, largest memory and total processor time of schedulers. */
     public record Outcome(
             Map<String, Long> answers, List<String> violations, double maxMemoryMib, double processorSeconds) {}
 
@@ -67,7 +67,7 @@
     private final List<String> command;
     private final ExecutorService pool = Executors.newFixedThreadPool(4, task -> daemonThread(task, "stand-ins"));
     private final ScheduledExecutorService faultTimers;
-    private final Scheduler timers = new ScheduledExecutorScheduler("stand-ins' timers", true, 1);
+    private final Scheduler timers = new ScheduledExecutorScheduler("stand-in timers", true, 1);
     private final List<SchedulerProcess> schedulers = new ArrayList<>();
     private final List<StandInDiscovery> discoveries = new ArrayList<>();
     private final List<StandInWorker> workers = new ArrayList<>();
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Plays it. folder: where logs, configurations and figures go; deploy: the deploy file whose `run` has the JVM's
-     * options, or null for none. A {@link ConfigException} says why nothing was started, or which process did not come up.
+     * Runs a scenario. folder: for logs, configurations and results; deploy: the deploy file whose `run` line has the JVM
+     * options, or null for none. Throws {@link ConfigException} if memory is short or a scheduler does not become ready.
      */
     public static Outcome run(FleetScenario scenario, Path folder, Path deploy, PrintStream out) throws Exception {
         long freeMib = availableMib();
@@ -121,7 +121,7 @@
                     Pattern.compile("MemAvailable:\\s+(\\d+) kB").matcher(Files.readString(Path.of("/proc/meminfo")));
             return memAvailable.find() ? Long.parseLong(memAvailable.group(1)) / 1024 : Long.MAX_VALUE;
         } catch (IOException e) {
-            return Long.MAX_VALUE; // not told here
+            return Long.MAX_VALUE; // this system has no such file
         }
     }
 
@@ -157,15 +157,15 @@
             schedulers.add(new SchedulerProcess(number, folder, command));
         }
         for (int from = 0; from < schedulers.size(); from += CONCURRENT_STARTS) {
-            List<SchedulerProcess> wave =
+            List<SchedulerProcess> batch =
                     schedulers.subList(from, Math.min(schedulers.size(), from + CONCURRENT_STARTS));
-            for (SchedulerProcess scheduler : wave) {
+            for (SchedulerProcess scheduler : batch) {
                 scheduler.start(schedulerConfig(scheduler));
             }
-            for (SchedulerProcess scheduler : wave) {
+            for (SchedulerProcess scheduler : batch) {
                 scheduler.awaitReady();
             }
-            out.printf("%d of %d schedulers are ready%n", from + wave.size(), schedulers.size());
+            out.printf("%d of %d schedulers are ready%n", from + batch.size(), schedulers.size());
         }
     }
 
@@ -212,7 +212,7 @@
             load.sendAllJobs();
             progressTimer.cancel(false);
             for (Future<?> planned : plannedFaults) {
-                planned.get(60, TimeUnit.SECONDS); // a fault that could not be made is a failed run
+                planned.get(60, TimeUnit.SECONDS); // a fault that could not be injected fails the run
             }
             return stopAndReport(load.jobRecords());
         }
@@ -228,7 +228,7 @@
                 TimeUnit.MILLISECONDS));
     }
 
-    /** A step of a fault, which may fail. */
+    /** An action that may throw. */
     private interface Step {
         void run() throws Exception;
     }
@@ -301,7 +301,7 @@
                 workers.get(fault.target())
                         .countJobsAsLateAfter(DRAIN_GRACE_MILLIS + millisUntilAllHearDiscovery(fault.atMicros()));
             }
-            default -> throw new IllegalStateException("nothing begins with " + fault.kind());
+            default -> throw new IllegalStateException("no action for the fault " + fault.kind());
         }
     }
 
@@ -337,7 +337,7 @@
         recordEvent("back, cold", worker);
     }
 
-    /** How much longer some scheduler stands still or hears nothing of discovery, at that time of the scenario, in ms. */
+    /** Returns the time until the last pause or silence ends that covers atMicros or begins within the grace after it. */
     private long millisUntilAllHearDiscovery(long atMicros) {
         return scenario.faults().stream()
                 .filter(fault -> fault.kind() == FleetScenario.FaultKind.PAUSE
@@ -349,7 +349,7 @@
                 .orElse(0);
     }
 
-    /** The front notices a while later that it is gone, unless it has been started again meanwhile. */
+    /** Takes a scheduler out of service after a delay, unless it has been started again by then. */
     private void takeOutOfServiceAfter(SchedulerProcess scheduler, long millis) {
         int startCount = scheduler.startCount();
         runLater(millis, () -> scheduler.inService &= scheduler.startCount() != startCount);
@@ -475,7 +475,7 @@
         Files.write(folder.resolve("events.jsonl"), eventLines);
     }
 
-    /** A line for each job, so that times can be looked at by second, class and scheduler. */
+    /** Returns the lines of jobs.csv, one for each job. */
     private static List<String> formatJobLines(List<JobRecord> jobs) {
         List<String> lines = new ArrayList<>(List.of("sent_ms,class,scheduler,answer,took_ms"));
         for (JobRecord job : jobs) {
@@ -491,7 +491,7 @@
         return lines;
     }
 
-    /** Ends every process and all that was started for them. */
+    /** Stops all processes and stand-ins. */
     private void stopAll() throws Exception {
         faultTimers.shutdownNow();
         for (SchedulerProcess scheduler : schedulers) {
--- a/src/main/java/barrowshore/fleet/FleetScenario.java
+++ b/src/main/java/barrowshore/fleet/FleetScenario.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * A fleet of real processes and what befalls it: how many schedulers and workers, how many jobs a second for how long, and
- * the faults at set times. It owns the reading of the file; times are microseconds from the start of the load.
+ * The scenario of a {@link Fleet} run: its size, its load, and faults at set times. It owns the parsing of the file. Times
+ * count from the start of the load.
  */
 public record FleetScenario(
         String name,
@@ -25,7 +25,7 @@
         long seed,
         double datagramLoss,
         List<Fault> faults) {
-    /** What happens. Schedulers are numbered from 0, and so are workers. */
+    /** The kinds of faults, as XML elements name them: first those of schedulers, from CRASH on those of workers. */
     public enum FaultKind {
         KILL,
         TERM,
@@ -39,7 +39,10 @@
         DRAIN
     }
 
-    /** one: the scheduler or worker; lasts 0: for good; others: the schedulers on the other side of a partition. */
+    /**
+     * One fault. durationMicros 0: no end; target: number of the scheduler or worker, -1 for PARTITION; factor: slowdown
+     * of SLOW; isolatedSchedulers: one side of PARTITION.
+     */
     public record Fault(
             FaultKind kind,
             long atMicros,
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Reads a file; a {@link ConfigException} names line, column and element. */
+    /** Reads a file; a {@link ConfigException} names line, column and element of the first error. */
     public static FleetScenario read(Path file) {
         return fromXml(file.toString(), XmlFile.read(file, FleetScenario.class, "fleet.xsd"));
     }
@@ -79,7 +82,7 @@
                                 + "; they are numbered from 0");
             }
             if (element.micros("at") + element.micros("for") > lengthMicros) {
-                throw element.error(file, "it is not over before the load is");
+                throw element.error(file, "the fault ends after the load does (at + for > length)");
             }
             List<Integer> isolatedSchedulers = new ArrayList<>();
             for (String number :
@@ -88,7 +91,7 @@
                     throw element.error(file, "there is no scheduler " + number + "; they are numbered from 0");
                 }
                 if (isolatedSchedulers.contains(Integer.parseInt(number))) {
-                    throw element.error(file, "scheduler " + number + " is there twice");
+                    throw element.error(file, "scheduler " + number + " is listed twice");
                 }
                 isolatedSchedulers.add(Integer.parseInt(number));
             }
@@ -113,7 +116,7 @@
                 List.copyOf(faults));
     }
 
-    /** What is down cannot be killed, ended or paused, and what is up cannot be started. */
+    /** Rejects kill, term and pause of a scheduler that is down, start of one that is up, and a fleet all down. */
     private static void checkOrder(String file, Element element, List<Fault> faults, int schedulers) {
         List<Fault> sorted = new ArrayList<>(faults);
         sorted.sort(Comparator.comparingLong(Fault::atMicros));
@@ -125,12 +128,12 @@
             boolean wasUp = upByScheduler.getOrDefault(fault.target(), true);
             if (wasUp == (fault.kind() == FaultKind.START)) {
                 throw element.error(
-                        file, "scheduler " + fault.target() + " is " + (wasUp ? "up" : "down") + " by then");
+                        file, "scheduler " + fault.target() + " is " + (wasUp ? "up" : "down") + " at that time");
             }
             upByScheduler.put(fault.target(), fault.kind() == FaultKind.START || fault.kind() == FaultKind.PAUSE);
         }
-        if (upByScheduler.values().stream().filter(u -> !u).count() >= schedulers) {
-            throw element.error(file, "nobody is left to serve");
+        if (upByScheduler.values().stream().filter(isUp -> !isUp).count() >= schedulers) {
+            throw element.error(file, "no scheduler is left to serve");
         }
     }
 }
--- a/src/main/java/barrowshore/fleet/Invariants.java
+++ b/src/main/java/barrowshore/fleet/Invariants.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * What must hold whatever befalls a fleet, judged from what clients and workers have recorded, and from nothing that a
- * scheduler says of itself. Pure.
+ * Checks what must hold in a fleet under any faults, by the records of clients and workers alone, not by what schedulers
+ * report. Pure.
  */
 final class Invariants {
-    /** What came back to a client; REFUSED: its connection never came up; NONE: it ended or time ran out, unanswered. */
+    /** How a job ended for its client. REFUSED: no connection; NONE: the connection ended or timed out unanswered. */
     enum Answer {
         SERVED,
         TURNED_DOWN,
@@ -19,7 +19,7 @@
         NONE
     }
 
-    /** A request; times in microseconds on one clock; until: when its client stopped waiting. */
+    /** A client's record of a job; times in microseconds since the start; waitedUntil: the end of its timeout. */
     record JobRecord(
             String id,
             boolean atMostOnce,
@@ -29,15 +29,18 @@
             long waitedUntil,
             Answer answer) {}
 
-    /** A scheduler was killed, or stood still: what it held then may be without an answer. */
+    /** A time in which a scheduler was dead or paused: jobs that it held then may stay unanswered. */
     record Outage(int scheduler, long from, long to) {}
 
-    /** What a worker recorded; late: jobs that came after its drain had been told and the grace was over. */
+    /** A worker's record; lateJobs: jobs that came after its drain and the grace. */
     record WorkerRecord(String worker, int lateJobs, boolean failedFromOverload, double coldBudgetUsed) {}
 
     private Invariants() {}
 
-    /** What is broken, a line each; empty if all holds. runs: how often each id started, on all workers together. */
+    /**
+     * Returns a line for each violation. startsByJobId: summed over all workers; processProblems: schedulers that ended by
+     * themselves or could not be stopped.
+     */
     static List<String> findViolations(
             Collection<JobRecord> jobs,
             Map<String, Integer> startsByJobId,
@@ -49,8 +52,9 @@
             int starts = startsByJobId.getOrDefault(job.id, 0);
             if (job.answer == Answer.NONE
                     && outages.stream()
-                            .noneMatch(o ->
-                                    o.scheduler == job.scheduler && o.from <= job.waitedUntil && o.to >= job.sentAt)) {
+                            .noneMatch(outage -> outage.scheduler == job.scheduler
+                                    && outage.from <= job.waitedUntil
+                                    && outage.to >= job.sentAt)) {
                 violations.add("no answer: " + job.id + " at scheduler " + job.scheduler + ", sent at "
                         + formatSeconds(job.sentAt));
             }
--- a/src/main/java/barrowshore/fleet/LoadGenerator.java
+++ b/src/main/java/barrowshore/fleet/LoadGenerator.java
@@ -17,14 +17,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The load on a fleet: jobs at set times whatever becomes of those before them, each over a connection of its own, to any
- * scheduler that is in service as far as a front has noticed. It owns its threads and what each job came to. It must never
- * send a job twice.
+ * Generates an open-loop load on a fleet: arrival times do not depend on earlier answers. Each job is sent once, over a
+ * connection of its own, to a random scheduler of those marked in service. It owns its threads and the jobs' records.
  */
 final class LoadGenerator implements AutoCloseable {
-    /** How long a client waits, and how much longer its answer is waited for, so that a slow machine breaks nothing. */
+    /** The timeout that a job states, and how much longer its answer is accepted, as the machine may be slow. */
     private static final int JOB_TIMEOUT_MILLIS = 3_000, EXTRA_WAIT_MILLIS = 5_000;
-    /** Processor milliseconds of work of each class, at speed 1. */
+    /** Work of a job of each class, at speed 1. */
     private static final int[] JOB_WORK_MILLIS = {60, 120};
 
     private static final int MAX_CONCURRENT_JOBS = 512;
@@ -39,7 +38,7 @@
     private final Queue<JobRecord> jobRecords = new ConcurrentLinkedQueue<>();
     private final long startNanos;
 
-    /** startNanos: when the load's time begins, by System.nanoTime. */
+    /** startNanos: the origin of all times, by System.nanoTime. */
     LoadGenerator(FleetScenario scenario, List<SchedulerProcess> schedulers, long startNanos) {
         this.scenario = scenario;
         this.schedulers = schedulers;
@@ -50,7 +49,7 @@
         return (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Sends the whole load and waits until each job has come to something. */
+    /** Sends the whole load and waits until all jobs are answered or timed out. */
     void sendAllJobs() throws InterruptedException {
         SplittableRandom random = new SplittableRandom(scenario.seed());
         double dueMicros = 0;
@@ -67,9 +66,9 @@
 
     private void sendJob(int number, double pick) {
         List<SchedulerProcess> candidates =
-                schedulers.stream().filter(i -> i.inService).toList();
+                schedulers.stream().filter(candidate -> candidate.inService).toList();
         if (candidates.isEmpty()) {
-            return; // no front would take it
+            return; // a load balancer would have nowhere to send it
         }
         SchedulerProcess scheduler = candidates.get((int) (pick * candidates.size()));
         int classIndex = number % JOB_WORK_MILLIS.length;
@@ -91,7 +90,7 @@
         } catch (SocketTimeoutException e) {
             answer = Answer.NONE;
         } catch (IOException e) {
-            // Reset: what it had come to so far.
+            // Keeps REFUSED if the connection failed, NONE if it was reset later.
         }
         jobRecords.add(new JobRecord(
                 id,
@@ -103,7 +102,7 @@
                 answer));
     }
 
-    /** One whole answer, framed by its length; anything less is none. */
+    /** Classifies an answer; one that is incomplete by its content-length is NONE. */
     static Answer classifyAnswer(String text) {
         int headEnd = text.indexOf("\r\n\r\n");
         if (headEnd < 0 || !text.startsWith("HTTP/1.1 ")) {
@@ -111,8 +110,8 @@
         }
         int length = text.substring(0, headEnd)
                 .lines()
-                .filter(l -> l.toLowerCase(Locale.ROOT).startsWith("content-length:"))
-                .mapToInt(l -> Integer.parseInt(l.substring(15).trim()))
+                .filter(line -> line.toLowerCase(Locale.ROOT).startsWith("content-length:"))
+                .mapToInt(line -> Integer.parseInt(line.substring(15).trim()))
                 .findFirst()
                 .orElse(0);
         if (text.length() != headEnd + 4 + length) {
@@ -125,7 +124,7 @@
         };
     }
 
-    /** What each job has come to so far. */
+    /** Returns the records of all jobs finished so far. */
     List<JobRecord> jobRecords() {
         return List.copyOf(jobRecords);
     }
--- a/src/main/java/barrowshore/fleet/PeerNetwork.java
+++ b/src/main/java/barrowshore/fleet/PeerNetwork.java
@@ -18,18 +18,18 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * The network between schedulers: one address for each, by which all others know it, and one for all of them. It owns
- * these sockets and the thread that carries datagrams between them, loses some and cuts parts off from one another. It
- * must never read what they say, nor carry one from an address that is no scheduler's.
+ * A simulated network between schedulers: a public address for each, and a broadcast address. It owns these sockets and
+ * the thread that forwards datagrams, with loss and partitions. It must not read contents, and forwards only what comes
+ * from a scheduler's address.
  */
 public final class PeerNetwork implements AutoCloseable {
-    /** The platform's most, and one more to see a longer one. */
+    /** The platform's limit. */
     private static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** Bytes of the IP and UDP heads of a datagram. */
+    /** IP and UDP headers of a datagram. */
     public static final int HEADER_BYTES = 28;
 
-    /** What one scheduler has sent, once for all others, and been brought; bytes with heads. */
+    /** Datagrams of one scheduler; a broadcast counts as one sent. Bytes include headers. */
     public record Traffic(long sent, long sentBytes, long delivered, long deliveredBytes) {}
 
     private final List<DatagramChannel> publicChannels = new ArrayList<>();
@@ -40,13 +40,13 @@
     private final Thread forwarder;
     private final double loss;
     private final SplittableRandom random;
-    /** The schedulers on one side of a cut; replaced as a whole, read by the carrier. */
+    /** The schedulers on one side of a partition; empty: no partition. Never modified, only replaced. */
     private volatile Set<Integer> partitionSide = Set.of();
 
     private final AtomicLongArray sent, sentBytes, delivered, deliveredBytes;
     private volatile long forwardedCount, lostCount, oversizedCount;
 
-    /** So many schedulers, each at a free port of its own that it will listen on. */
+    /** Picks a free port for each scheduler to listen on, and starts forwarding. loss: share of datagrams lost. */
     public PeerNetwork(int count, double loss, long seed) throws IOException {
         this.loss = loss;
         this.random = new SplittableRandom(seed);
@@ -86,27 +86,26 @@
         return channel;
     }
 
-    /** Where a scheduler listens. */
+    /** Returns the address that a scheduler must listen on. */
     public InetSocketAddress listenAddress(int scheduler) {
         return listenAddresses.get(scheduler);
     }
 
-    /** Where the others know a scheduler. */
+    /** Returns the address at which the others reach a scheduler. */
     public InetSocketAddress publicAddress(int scheduler) throws IOException {
         return (InetSocketAddress) publicChannels.get(scheduler).getLocalAddress();
     }
 
-    /** Where a datagram to all others goes. */
+    /** Returns the address that reaches all other schedulers. */
     public InetSocketAddress broadcastAddress() throws IOException {
         return (InetSocketAddress) broadcastChannel.getLocalAddress();
     }
 
-    /** From now on these and the others do not hear one another; empty: all do. */
+    /** Drops datagrams between these schedulers and the others; empty: ends the partition. */
     void setPartition(Set<Integer> side) {
         partitionSide = Set.copyOf(side);
     }
 
-    /** What a scheduler has sent and been brought so far. */
     public Traffic traffic(int scheduler) {
         return new Traffic(
                 sent.get(scheduler), sentBytes.get(scheduler), delivered.get(scheduler), deliveredBytes.get(scheduler));
@@ -120,13 +119,13 @@
         return lostCount;
     }
 
-    /** Datagrams over the platform's most: there must be none. */
+    /** Returns how many datagrams exceeded the platform's limit; there must be none. */
     long oversizedCount() {
         return oversizedCount;
     }
 
     private void forwardUntilClosed() {
-        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1); // one more byte shows a longer one
         while (selector.isOpen()) {
             try {
                 selector.select();
@@ -151,7 +150,7 @@
             } catch (ClosedSelectorException e) {
                 return;
             } catch (IOException e) {
-                lostCount++; // its receiver is down: as on any network
+                lostCount++; // its receiver is down: the datagram is lost, as on a real network
             }
         }
     }
--- a/src/main/java/barrowshore/fleet/SchedulerProcess.java
+++ b/src/main/java/barrowshore/fleet/SchedulerProcess.java
@@ -17,30 +17,30 @@
 import java.util.regex.Pattern;
 
 /**
- * One scheduler of a fleet as a process of its own, with its configuration, its log and its folder. It owns the process
- * from start to end, over restarts under the same name, and ends it by its id. It must never be left behind: the process
- * itself watches whoever started it.
+ * One scheduler of a fleet as a process of its own, with its configuration, log and temporary folder. It owns the process
+ * over restarts under the same name, and stops it by its id. The process must not outlive this one: it gets this one's id
+ * by --with and watches it.
  */
 public final class SchedulerProcess {
-    /** How long a start may take, on a machine that starts many at once. */
+    /** Long, as many schedulers start on the machine at once. */
     private static final long READY_TIMEOUT_SECONDS = 90;
-    /** The platform ends one that was told to end after the longest deadline and 0.7 s; a slow machine gets more. */
+    /** Time to exit after SIGTERM: the platform gives the longest deadline and 0.7 s; a slow machine needs more. */
     private static final long EXIT_TIMEOUT_SECONDS = 10;
 
     final int number;
     final int port;
     private final Path folder;
     private final List<String> command;
-    /** Holds the port until the first start: another program on this machine must not get it meanwhile. */
+    /** Holds the port until the first start, so that no other program on the machine takes it. */
     private final ServerSocket reservedPort;
 
     private volatile Process process;
-    /** How often it has been started: what is noticed late must not be laid to a later life. */
+    /** How often it has been started: a delayed action on one run of the process must not affect a later run. */
     private volatile int startCount;
-    /** Whether the front sends it clients. */
+    /** Whether the load is sent to it. */
     volatile boolean inService;
 
-    /** command: what runs `serve`, without its arguments. */
+    /** command: as {@link #launchCommand} returns it. */
     public SchedulerProcess(int number, Path folder, List<String> command) throws IOException {
         this.number = number;
         this.folder = folder;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * The production command line's options for the JVM, of the deploy file's `run`, before this program's own jar or
-     * classes.
+     * Returns the command line of `serve`: this process's java and class path, with the JVM options of the deploy file's
+     * `run` line; deploy null: no options.
      */
     public static List<String> launchCommand(Path deploy) {
         List<String> arguments =
@@ -91,7 +91,7 @@
         return folder.resolve("n" + number + ".log");
     }
 
-    /** Starts it with this configuration; its log goes on where there is one. */
+    /** Starts it with this configuration; appends to its log. */
     public void start(String config) throws IOException {
         Path configFile = configFile(), temporaryFolder = folder.resolve("tmp" + number);
         Files.writeString(configFile, config);
@@ -112,17 +112,17 @@
         return folder.resolve("n" + number + ".json");
     }
 
-    /** Gives it another configuration while it runs. */
+    /** Replaces its configuration while it runs. */
     public void reload(String config) throws IOException, InterruptedException {
         Files.writeString(configFile(), config);
         signal("HUP");
     }
 
-    /** Waits until it says that it is ready; one that does not come up is an error that names its log. */
+    /** Waits until it is ready; throws {@link ConfigException}, naming its log, if it exits before or takes too long. */
     public void awaitReady() throws IOException, InterruptedException {
         Process started = process;
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
-        // Whoever answers there must be ours: a process that has ended answers nothing.
+        // Another process may answer on that port if ours has ended.
         while (!answersReady() || !started.isAlive()) {
             if (started.waitFor(20, TimeUnit.MILLISECONDS) || System.nanoTime() > deadlineNanos) {
                 throw new ConfigException("scheduler " + number
@@ -147,7 +147,7 @@
         } catch (ConnectException e) {
             return false;
         } catch (IOException e) {
-            return false; // it is coming up, or going
+            return false; // it is starting or ending
         }
     }
 
@@ -171,7 +171,7 @@
         process.destroy();
     }
 
-    /** SIGSTOP or SIGCONT: there is no call for these in the JDK. */
+    /** Sends a signal such as STOP by the kill command: the JDK has no call for it. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
                 .inheritIO()
@@ -179,14 +179,14 @@
                 .waitFor();
     }
 
-    /** Waits for one that was told to end, which still answers what it holds; one that does not go is ended. */
+    /** Waits for it to exit after SIGTERM, while it answers the jobs that it holds; kills it after a timeout. */
     void awaitExit() throws InterruptedException, IOException {
         if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             stop();
         }
     }
 
-    /** Ends it for good and waits until it is gone; whether it is. */
+    /** Kills it and waits until it has exited; false if it has not. */
     public boolean stop() throws InterruptedException, IOException {
         reservedPort.close();
         if (process == null) {
@@ -196,7 +196,7 @@
         return process.waitFor(20, TimeUnit.SECONDS);
     }
 
-    /** Memory in use, in MiB, and processor seconds used; 0 where the system does not tell. */
+    /** Returns its peak memory in MiB and its processor time in seconds; 0 where the system has no figure. */
     double[] memoryAndCpu() {
         double memoryMib = 0;
         try {
@@ -204,7 +204,7 @@
                     .matcher(Files.readString(Path.of("/proc/" + pid() + "/status")));
             memoryMib = peakMemory.find() ? Double.parseDouble(peakMemory.group(1)) / 1024 : 0;
         } catch (IOException e) {
-            memoryMib = 0; // it has ended, or this system has no such file
+            memoryMib = 0; // it has exited, or this system has no such file
         }
         return new double[] {
             memoryMib,
