--- a/src/test/java/barrowshore/fleet/FleetTest.java
+++ b/src/test/java/barrowshore/fleet/FleetTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Real processes with faults between them: what must hold holds, and nothing is left behind. No time is asserted. */
+/** Runs real processes under faults: all invariants hold and no process stays behind. Asserts no times. */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetTest {
     @TempDir
@@ -29,7 +29,7 @@
                         + " length=\"8s\" " + attributes + ">\n" + faults + "\n</fleet>");
     }
 
-    private static List<ProcessHandle> ours() {
+    private static List<ProcessHandle> schedulerProcesses() {
         return ProcessHandle.current()
                 .descendants()
                 .filter(p -> p.info().commandLine().orElse("").contains("serve"))
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void fiveProcessesUnderFaultsKeepWhatMustHold() throws Exception {
+    void fiveProcessesUnderFaultsKeepInvariants() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Fleet.Outcome outcome = Fleet.run(
                 scenario(
@@ -55,7 +55,7 @@
                 new PrintStream(out, true));
         assertThat(outcome.violations()).as(out.toString()).isEmpty();
         assertThat(outcome.answers().get("served")).as(out.toString()).isPositive();
-        assertThat(ours()).isEmpty();
+        assertThat(schedulerProcesses()).isEmpty();
         assertThat(Files.readString(folder.resolve("events.jsonl")))
                 .contains("\"kill\"", "\"ready\"", "\"whole again\"");
         assertThat(Files.readAllLines(folder.resolve("figures.csv"))).hasSize(10);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void oneThatDoesNotComeUpIsAnErrorThatNamesItsLog() throws Exception {
+    void failedStartIsAnErrorThatNamesItsLog() throws Exception {
         Path deploy = folder.resolve("deploy.toml");
         Files.writeString(deploy, "run = \"exec java -Xmx1k -jar target/x.jar serve\"\n");
         assertThatThrownBy(
@@ -73,7 +73,7 @@
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("before it was ready")
                 .hasMessageContaining("n0.log");
-        assertThat(ours()).isEmpty();
+        assertThat(schedulerProcesses()).isEmpty();
         Files.writeString(deploy, "run = \"sleep 9\"\n");
         assertThatThrownBy(
                         () -> Fleet.run(scenario("", ""), folder, deploy, new PrintStream(new ByteArrayOutputStream())))
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void moreThanTheMemoryHoldsIsNotStarted() {
+    void startsNothingWhenMemoryIsShort() {
         assertThatThrownBy(() -> Fleet.run(
                         new FleetScenario("huge", 900_000, 1, 1, 1, 1, 0, List.of()),
                         folder,
@@ -100,27 +100,27 @@
                 "<crash worker='6' at='1s' for='1s'/>|there is no worker 6",
                 "<kill scheduler='0' at='1s' for='1s'/>|for",
                 "<partition schedulers='0 7' at='1s' for='1s'/>|there is no scheduler 7",
-                "<partition schedulers='1 1' at='1s' for='1s'/>|is there twice",
-                "<pause scheduler='0' at='7s' for='2s'/>|not over before",
+                "<partition schedulers='1 1' at='1s' for='1s'/>|is listed twice",
+                "<pause scheduler='0' at='7s' for='2s'/>|the fault ends after the load",
                 "<kill scheduler='0' at='soon'/>|soon",
                 "<start scheduler='0' at='1s'/>|scheduler 0 is up",
                 "<kill scheduler='0' at='1s'/><term scheduler='0' at='2s'/>|scheduler 0 is down",
                 "<burn worker='1'/>|burn",
                 "<slow worker='1' at='1s' for='1s'/>|factor"
             })
-    void aWrongScenarioIsNamedByLine(String faults, String says) {
+    void invalidScenarioErrorNamesTheLine(String faults, String expectedText) {
         assertThatThrownBy(() -> scenario("", faults.replace('\'', '"')))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("line 2")
-                .hasMessageContaining(says);
+                .hasMessageContaining(expectedText);
     }
 
     @Test
-    void someoneHasToBeLeft() {
+    void scenarioThatStopsEverySchedulerIsRejected() {
         assertThatThrownBy(
                         () -> FleetScenario.parse("<fleet xmlns=\"urn:barrowshore:fleet:1\" name=\"x\" schedulers=\"1\""
                                 + " workers=\"1\" rate=\"1\" length=\"8s\"><kill scheduler=\"0\" at=\"1s\"/></fleet>"))
-                .hasMessageContaining("nobody is left");
+                .hasMessageContaining("no scheduler is left");
     }
 
     @ParameterizedTest
@@ -135,7 +135,7 @@
                 "HTTP/1.1 200 OK~Content-Len|NONE",
                 "''|NONE"
             })
-    void anAnswerIsWholeOrNone(String text, Answer answer) {
-        assertThat(Clients.answer(text.replace("~", "\r\n"))).isEqualTo(answer);
+    void answerIsClassifiedByStatusAndCompleteness(String text, Answer answer) {
+        assertThat(LoadGenerator.classifyAnswer(text.replace("~", "\r\n"))).isEqualTo(answer);
     }
 }
