--- a/src/main/java/barrowshore/baseline/BaselineDispatcher.java
+++ b/src/main/java/barrowshore/baseline/BaselineDispatcher.java
@@ -32,218 +32,227 @@
     }
 
     /** Weight of an answer in a worker's mean response time. */
-    private static final double LEARN = 0.2;
+    private static final double RESPONSE_TIME_SMOOTHING = 0.2;
     /** How long a worker that could not be reached gets nothing, in connect time-outs. */
-    private static final double ASIDE = 4;
+    private static final double EXCLUSION_CONNECT_TIMEOUTS = 4;
     /** A worker's usual slots until a report tells. */
-    private static final double SLOTS = 4;
+    private static final double DEFAULT_SLOTS = 4;
 
     /** What is known of one worker. */
-    private static final class Known {
+    private static final class WorkerState {
         final String id;
         Member member;
-        double own, taken, response;
-        long downUntil;
+        double ownSlots, otherSlots, meanResponseMicros;
+        long excludedUntil;
 
-        Known(String id) {
+        WorkerState(String id) {
             this.id = id;
         }
     }
 
-    private record Sent(Known worker, long at, double slots) {}
+    private record SentAttempt(WorkerState worker, long sentAt, double slots) {}
 
     /** A job that is open, and where it went. */
-    private static final class Open {
+    private static final class OpenJob {
         final Request request;
-        final JobClass type;
-        final long answerBy;
-        final List<Sent> sent = new ArrayList<>(1);
+        final JobClass jobClass;
+        final long deadline;
+        final List<SentAttempt> attempts = new ArrayList<>(1);
         final List<Boolean> neverRan = new ArrayList<>(1);
 
-        Open(Request request, JobClass type, long answerBy) {
+        OpenJob(Request request, JobClass jobClass, long deadline) {
             this.request = request;
-            this.type = type;
-            this.answerBy = answerBy;
+            this.jobClass = jobClass;
+            this.deadline = deadline;
         }
     }
 
-    private final Policy rule;
-    private final Settings set;
-    private final Actions act;
-    private final DoubleSupplier chance;
-    private final OracleCost sight;
-    private final Map<String, Known> workers = new LinkedHashMap<>();
-    private final Map<String, Open> jobs = new HashMap<>();
-    private int next;
-    private int probeNext;
+    private final Policy policy;
+    private final Settings settings;
+    private final Actions actions;
+    private final DoubleSupplier random;
+    private final OracleCost oracle;
+    private final Map<String, WorkerState> workers = new LinkedHashMap<>();
+    private final Map<String, OpenJob> jobs = new HashMap<>();
+    private int nextWorker;
+    private int nextProbed;
 
     /** chance: numbers from 0 to 1; sight: for {@link Policy#TRUE_STATE} alone. */
     public BaselineDispatcher(
-            Policy rule, Settings settings, Actions actions, DoubleSupplier chance, OracleCost sight) {
-        this.rule = rule;
-        this.set = settings;
-        this.act = actions;
-        this.chance = chance;
-        this.sight = sight;
+            Policy policy, Settings settings, Actions actions, DoubleSupplier random, OracleCost oracle) {
+        this.policy = policy;
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+        this.oracle = oracle;
     }
 
     @Override
     public void start(long now) {
-        if (set.pollsList) {
-            act.watchList();
+        if (settings.pollsList) {
+            actions.watchList();
         }
     }
 
     @Override
     public void list(long now, ListKind kind, List<Member> entries) {
         if (kind == ListKind.FAILED) {
-            act.setTimer((long) (set.listPollMicros / 40.0 * (0.5 + chance.getAsDouble())), "ask");
+            actions.setTimer((long) (settings.listPollMicros / 40.0 * (0.5 + random.getAsDouble())), "ask");
             return;
         }
         if (kind != ListKind.CHANGES) {
             workers.values().forEach(w -> w.member = null);
         }
         for (Member m : entries) {
-            workers.computeIfAbsent(m.worker(), Known::new).member = m;
+            workers.computeIfAbsent(m.worker(), WorkerState::new).member = m;
         }
     }
 
     @Override
     public void request(long now, Request request) {
-        Open job = new Open(request, set.classes[request.jobClass()], now + request.timeLeftMicros());
+        OpenJob job = new OpenJob(request, settings.classes[request.jobClass()], now + request.timeLeftMicros());
         jobs.put(request.id(), job);
         dispatch(now, job);
-        if (set.mayProbe
-                && set.reportSource == ReportSource.PROBES
-                && rule == Policy.TWO_CHOICES
+        if (settings.mayProbe
+                && settings.reportSource == ReportSource.PROBES
+                && policy == Policy.TWO_CHOICES
                 && !workers.isEmpty()) {
-            List<Known> all = new ArrayList<>(workers.values());
-            Known w = all.get(probeNext++ % all.size());
-            if (ready(w) && warmth(now, w) >= 1) {
-                act.probe(w.id);
+            List<WorkerState> known = new ArrayList<>(workers.values());
+            WorkerState worker = known.get(nextProbed++ % known.size());
+            if (isReady(worker) && capacityShare(now, worker) >= 1) {
+                actions.probe(worker.id);
             }
         }
     }
 
-    private boolean ready(Known w) {
-        return w.member != null && w.member.health() == Health.READY;
+    private boolean isReady(WorkerState worker) {
+        return worker.member != null && worker.member.health() == Health.READY;
     }
 
-    private double warmth(long now, Known w) {
-        long since = w.member.startedAt();
-        double share = since > 0 ? Math.max(0, (now - since) / (double) set.warmUpMicros) : 1;
-        return share >= 1 ? 1 : set.startCapacity + (1 - set.startCapacity) * share;
+    private double capacityShare(long now, WorkerState worker) {
+        long startedAt = worker.member.startedAt();
+        double share = startedAt > 0 ? Math.max(0, (now - startedAt) / (double) settings.warmUpMicros) : 1;
+        return share >= 1 ? 1 : settings.startCapacity + (1 - settings.startCapacity) * share;
     }
 
-    private void dispatch(long now, Open job) {
-        Known to = null;
-        if (job.sent.size() < set.maxAttempts && now < job.answerBy) {
-            List<Known> fit = new ArrayList<>();
-            for (Known w : workers.values()) {
+    private void dispatch(long now, OpenJob job) {
+        WorkerState target = null;
+        if (job.attempts.size() < settings.maxAttempts && now < job.deadline) {
+            List<WorkerState> candidates = new ArrayList<>();
+            for (WorkerState worker : workers.values()) {
                 // Slow start: a worker that is cold stands in for so much of a warm one, whatever the rule.
-                if (ready(w) && now >= w.downUntil && mayGo(now, job, w) && chance.getAsDouble() < warmth(now, w)) {
-                    fit.add(w);
+                if (isReady(worker)
+                        && now >= worker.excludedUntil
+                        && maySend(now, job, worker)
+                        && random.getAsDouble() < capacityShare(now, worker)) {
+                    candidates.add(worker);
                 }
             }
-            to = fit.isEmpty() ? null : choose(now, job, fit);
+            target = candidates.isEmpty() ? null : chooseWorker(now, job, candidates);
         }
-        if (to == null) {
-            answer(job);
+        if (target == null) {
+            giveUp(job);
             return;
         }
-        job.sent.add(new Sent(to, now, job.request.slots()));
+        job.attempts.add(new SentAttempt(target, now, job.request.slots()));
         job.neverRan.add(false);
-        to.own += job.request.slots();
-        act.send(job.request.id(), to.id, 0);
+        target.ownSlots += job.request.slots();
+        actions.send(job.request.id(), target.id, 0);
     }
 
-    private Known choose(long now, Open job, List<Known> fit) {
-        return switch (rule) {
-            case RANDOM -> any(fit);
-            case ROUND_ROBIN -> fit.get(next++ % fit.size());
-            case LEAST_IN_FLIGHT -> least(fit, w -> w.own / weight(w));
-            case TWO_CHOICES -> least(List.of(any(fit), any(fit)), w -> (w.own + w.taken) / weight(w));
-            case LEAST_RESPONSE_TIME -> least(fit, w -> w.response * (1 + w.own) / weight(w));
-            case TRUE_STATE -> least(fit, w -> sight.cost(w.id, job.request.slots()));
+    private WorkerState chooseWorker(long now, OpenJob job, List<WorkerState> candidates) {
+        return switch (policy) {
+            case RANDOM -> randomWorker(candidates);
+            case ROUND_ROBIN -> candidates.get(nextWorker++ % candidates.size());
+            case LEAST_IN_FLIGHT -> lowest(candidates, w -> w.ownSlots / weight(w));
+            case TWO_CHOICES -> lowest(
+                    List.of(randomWorker(candidates), randomWorker(candidates)),
+                    w -> (w.ownSlots + w.otherSlots) / weight(w));
+            case LEAST_RESPONSE_TIME -> lowest(candidates, w -> w.meanResponseMicros * (1 + w.ownSlots) / weight(w));
+            case TRUE_STATE -> lowest(candidates, w -> oracle.cost(w.id, job.request.slots()));
         };
     }
 
-    private double weight(Known w) {
-        return w.member.rating() > 0 ? w.member.rating() : 1;
+    private double weight(WorkerState worker) {
+        return worker.member.rating() > 0 ? worker.member.rating() : 1;
     }
 
-    private Known any(List<Known> of) {
-        return of.get((int) (chance.getAsDouble() * of.size()));
+    private WorkerState randomWorker(List<WorkerState> candidates) {
+        return candidates.get((int) (random.getAsDouble() * candidates.size()));
     }
 
     /** The least by a measure; ties go by chance, or every scheduler would choose the same. */
-    private Known least(List<Known> of, ToDoubleFunction<Known> measure) {
-        Known best = null;
-        double lowest = 0, ties = 0;
-        for (Known w : of) {
-            double cost = measure.applyAsDouble(w);
-            if (best == null || cost < lowest) {
-                best = w;
-                lowest = cost;
+    private WorkerState lowest(List<WorkerState> candidates, ToDoubleFunction<WorkerState> measure) {
+        WorkerState best = null;
+        double lowestCost = 0, ties = 0;
+        for (WorkerState worker : candidates) {
+            double cost = measure.applyAsDouble(worker);
+            if (best == null || cost < lowestCost) {
+                best = worker;
+                lowestCost = cost;
                 ties = 1;
-            } else if (cost == lowest && chance.getAsDouble() * ++ties < 1) {
-                best = w;
+            } else if (cost == lowestCost && random.getAsDouble() * ++ties < 1) {
+                best = worker;
             }
         }
         return best;
     }
 
-    private boolean mayGo(long now, Open job, Known w) {
-        for (int i = 0; i < job.sent.size(); i++) {
-            Sent s = job.sent.get(i);
-            if (s.worker == w) {
+    private boolean maySend(long now, OpenJob job, WorkerState worker) {
+        for (int i = 0; i < job.attempts.size(); i++) {
+            SentAttempt earlier = job.attempts.get(i);
+            if (earlier.worker == worker) {
                 return false;
             }
             if (job.neverRan.get(i)) {
                 continue;
             }
-            boolean group = s.worker.member != null
-                    && switch (job.type.scope()) {
+            boolean sharesKeys = earlier.worker.member != null
+                    && switch (job.jobClass.scope()) {
                         case ALL -> true;
-                        case ZONE -> s.worker.member.zone() == w.member.zone();
-                        case CELL -> s.worker.member.cell() == w.member.cell();
+                        case ZONE -> earlier.worker.member.zone() == worker.member.zone();
+                        case CELL -> earlier.worker.member.cell() == worker.member.cell();
                     };
-            if (job.type.safety() == RepeatSafety.UNSAFE
-                    || job.type.safety() == RepeatSafety.KEYED
-                            && (!group || now - s.at >= job.type.repeatWindowMicros())) {
+            if (job.jobClass.safety() == RepeatSafety.UNSAFE
+                    || job.jobClass.safety() == RepeatSafety.KEYED
+                            && (!sharesKeys || now - earlier.sentAt >= job.jobClass.repeatWindowMicros())) {
                 return false;
             }
         }
         return true;
     }
 
-    private void answer(Open job) {
+    private void giveUp(OpenJob job) {
         jobs.remove(job.request.id());
-        boolean harmless = job.type.safety() == RepeatSafety.SAFE
-                || job.type.safety() == RepeatSafety.KEYED && job.type.scope() == DedupScope.ALL
+        boolean mayRepeat = job.jobClass.safety() == RepeatSafety.SAFE
+                || job.jobClass.safety() == RepeatSafety.KEYED && job.jobClass.scope() == DedupScope.ALL
                 || !job.neverRan.contains(false);
-        if (harmless) {
-            act.refuse(job.request.id(), Math.min(set.maxRetryAfterMicros, (long) (1e5 * (1 + chance.getAsDouble()))));
+        if (mayRepeat) {
+            actions.refuse(job.request.id(), Math.min(settings.maxRetryAfterMicros, (long)
+                    (1e5 * (1 + random.getAsDouble()))));
         } else {
-            act.fail(job.request.id());
+            actions.fail(job.request.id());
         }
     }
 
     @Override
     public void outcome(long now, String id, int attempt, boolean closed, Status status, long latency, Load load) {
-        Open job = jobs.get(id);
+        OpenJob job = jobs.get(id);
         if (job == null) {
             return;
         }
-        Sent sent = job.sent.get(attempt);
-        Known w = sent.worker;
-        w.own = Math.max(0, w.own - sent.slots);
+        SentAttempt attemptSent = job.attempts.get(attempt);
+        WorkerState worker = attemptSent.worker;
+        worker.ownSlots = Math.max(0, worker.ownSlots - attemptSent.slots);
         job.neverRan.set(attempt, status.neverRan());
-        told(w, load);
+        recordLoad(worker, load);
         if (status == Status.OK) {
-            w.response += (w.response == 0 ? 1 : LEARN) * (latency - w.response);
+            worker.meanResponseMicros += (worker.meanResponseMicros == 0 ? 1 : RESPONSE_TIME_SMOOTHING)
+                    * (latency - worker.meanResponseMicros);
         } else if (status == Status.CONNECT_FAILED || status == Status.TIMEOUT) {
-            w.downUntil = now + (long) (ASIDE * set.connectTimeoutMicros * (0.5 + chance.getAsDouble()));
+            worker.excludedUntil = now
+                    + (long)
+                            (EXCLUSION_CONNECT_TIMEOUTS * settings.connectTimeoutMicros * (0.5 + random.getAsDouble()));
         }
         if (closed) {
             jobs.remove(id);
@@ -253,14 +262,15 @@
     }
 
     /** What a report tells is taken, whichever figures it has; our own jobs there are in it. */
-    private void told(Known w, Load load) {
+    private void recordLoad(WorkerState worker, Load load) {
         if (load == null) {
             return;
         }
-        double held = load.inFlight() >= 0
+        double inFlight = load.inFlight() >= 0
                 ? load.inFlight()
-                : (load.freeSlots() >= 0 ? Math.max(0, SLOTS - load.freeSlots()) : 0) + Math.max(0, load.queue());
-        w.taken = Double.isNaN(held) ? 0 : Math.max(0, held - w.own);
+                : (load.freeSlots() >= 0 ? Math.max(0, DEFAULT_SLOTS - load.freeSlots()) : 0)
+                        + Math.max(0, load.queue());
+        worker.otherSlots = Double.isNaN(inFlight) ? 0 : Math.max(0, inFlight - worker.ownSlots);
     }
 
     @Override
@@ -268,10 +278,11 @@
 
     @Override
     public void clientGone(long now, String id) {
-        Open job = jobs.remove(id);
+        OpenJob job = jobs.remove(id);
         if (job != null) {
-            for (int i = 0; i < job.sent.size(); i++) {
-                job.sent.get(i).worker.own = Math.max(0, job.sent.get(i).worker.own - job.request.slots());
+            for (int i = 0; i < job.attempts.size(); i++) {
+                job.attempts.get(i).worker.ownSlots =
+                        Math.max(0, job.attempts.get(i).worker.ownSlots - job.request.slots());
             }
         }
     }
@@ -279,7 +290,7 @@
     @Override
     public void probed(long now, String worker, Status status, long latency, Load load) {
         if (status == Status.OK && workers.get(worker) != null) {
-            told(workers.get(worker), load);
+            recordLoad(workers.get(worker), load);
         }
     }
 
@@ -289,7 +300,7 @@
     @Override
     public void timerFired(long now, String token) {
         if (token.equals("ask")) {
-            act.watchList();
+            actions.watchList();
         }
     }
 }
--- a/src/main/java/barrowshore/emulate/Attempt.java
+++ b/src/main/java/barrowshore/emulate/Attempt.java
@@ -9,83 +9,85 @@
 /** One sending of a request to a machine, over connections that take time and may be cut. */
 final class Attempt implements WorkerModel.Job {
     /** How long a job that fails runs at most before it does. */
-    private static final long FAILS_WITHIN = 20 * World.MS;
+    private static final long MAX_WORK_BEFORE_FAILURE = 20 * Emulation.MILLISECOND;
 
-    private final World world;
-    private final VirtualClock kernel;
+    private final Emulation emulation;
+    private final VirtualClock clock;
     private final EmulatedScheduler scheduler;
 
-    final OpenRequest open;
+    final OpenRequest request;
     final int number;
     final EmulatedNode node;
     final long sentAt;
-    final int born;
-    long cameAt;
+    final int incarnation;
+    long arrivedAt;
     /** Whether its scheduler had been told of the node's last start as it was sent. */
-    boolean knew;
+    boolean senderKnewOfRestart;
 
     boolean ended;
-    boolean failing;
+    boolean willFail;
 
-    Attempt(World world, EmulatedScheduler scheduler, OpenRequest open, int number, EmulatedNode node) {
-        this.world = world;
-        this.kernel = world.kernel;
+    Attempt(Emulation emulation, EmulatedScheduler scheduler, OpenRequest request, int number, EmulatedNode node) {
+        this.emulation = emulation;
+        this.clock = emulation.clock;
         this.scheduler = scheduler;
-        this.sentAt = kernel.now();
-        this.born = scheduler.life();
-        this.open = open;
+        this.sentAt = clock.now();
+        this.incarnation = scheduler.incarnation();
+        this.request = request;
         this.number = number;
         this.node = node;
     }
 
     /** What has become of it, told once. */
-    void end(Status status) {
+    void finish(Status status) {
         if (ended) {
             return;
         }
         ended = true;
-        open.outstanding--;
-        scheduler.out[node.zone] -= open.job.slots;
-        if (status == Status.OK && !open.answered) {
-            open.answer(Status.OK, 0);
+        request.outstanding--;
+        scheduler.outstandingSlots[node.zone] -= request.job.slots;
+        if (status == Status.OK && !request.answered) {
+            request.answer(Status.OK, 0);
         }
-        boolean answer = status == Status.OK || status == Status.ERROR || status == Status.FULL;
+        boolean isAnswer = status == Status.OK || status == Status.ERROR || status == Status.FULL;
         scheduler
                 .module()
                 .outcome(
-                        kernel.now(),
-                        open.id,
+                        clock.now(),
+                        request.id,
                         number,
-                        open.answered,
+                        request.answered,
                         status,
-                        kernel.now() - sentAt,
-                        answer && scheduler.settings().reportSource == ReportSource.ANSWERS ? node.reported : null);
-        open.forget();
+                        clock.now() - sentAt,
+                        isAnswer && scheduler.settings().reportSource == ReportSource.ANSWERS
+                                ? node.reportedLoad
+                                : null);
+        request.releaseIfFinished();
     }
 
     /** Connects and sends. */
-    void go() {
-        if (!node.reachable(scheduler)) {
+    void connectAndSend() {
+        if (!node.isReachableFrom(scheduler)) {
             // It says nothing: the connection never comes up.
-            later(EmulatedScheduler.CONNECT_TIMEOUT, () -> end(Status.CONNECT_FAILED));
+            runIfPending(EmulatedScheduler.CONNECT_TIMEOUT_MICROS, () -> finish(Status.CONNECT_FAILED));
             return;
         }
-        long there = world.draws.way(scheduler.zone, node.zone);
+        long oneWay = emulation.random.oneWayMicros(scheduler.zone, node.zone);
         if (!node.model.isUp()) {
-            later(2 * there, () -> end(Status.CONNECT_FAILED));
+            runIfPending(2 * oneWay, () -> finish(Status.CONNECT_FAILED));
             return;
         }
-        later(3 * there, () -> {
-            if (scheduler.listed.get(node.id) != Health.READY) {
-                end(Status.NOT_SENT); // it was told to drain while the connection came up
+        runIfPending(3 * oneWay, () -> {
+            if (scheduler.listedHealth.get(node.id) != Health.READY) {
+                finish(Status.NOT_SENT); // it was told to drain while the connection came up
                 return;
             }
-            knew = scheduler.bootsHeard.getOrDefault(node.id, -1L) == node.boot;
-            world.report.sent(kernel.now() - World.START, node.zone, scheduler.zone);
-            kernel.runAfter(there, () -> {
-                if (node.reachable(scheduler)) {
-                    cameAt = kernel.now();
-                    world.report.even.came(node.number, scheduler.number, work() * slots());
+            senderKnewOfRestart = scheduler.listedStartTimes.getOrDefault(node.id, -1L) == node.startedAt;
+            emulation.report.recordSend(clock.now() - Emulation.START, node.zone, scheduler.zone);
+            clock.runAfter(oneWay, () -> {
+                if (node.isReachableFrom(scheduler)) {
+                    arrivedAt = clock.now();
+                    emulation.report.loadBalance.recordArrival(node.number, scheduler.number, work() * slots());
                     node.model.offer(this);
                 } // else its bytes wait in vain, and it is never heard of
             });
@@ -93,84 +95,84 @@
     }
 
     /** Runs it then, unless the attempt has ended or its scheduler has died. */
-    private void later(long delay, Runnable run) {
-        kernel.runAfter(delay, () -> {
-            if (scheduler.lives(born) && !ended) {
-                run.run();
+    private void runIfPending(long delay, Runnable action) {
+        clock.runAfter(delay, () -> {
+            if (scheduler.isIncarnation(incarnation) && !ended) {
+                action.run();
             }
         });
     }
 
     /** Runs it when it has come back to the scheduler; where the machine is cut off, once it is not. */
-    private void back(Runnable run) {
-        if (node.vanished) {
-            node.unsaid.add(() -> scheduler.over(node.zone, born, run));
+    private void runAtScheduler(Runnable action) {
+        if (node.disconnected) {
+            node.heldAnswers.add(() -> scheduler.deliverFrom(node.zone, incarnation, action));
         } else {
-            scheduler.over(node.zone, born, run);
+            scheduler.deliverFrom(node.zone, incarnation, action);
         }
     }
 
-    private void note(Note note, double share) {
-        back(() -> {
+    private void sendNote(Note note, double share) {
+        runAtScheduler(() -> {
             if (!ended) {
-                scheduler.module().note(kernel.now(), open.id, number, note, share);
+                scheduler.module().note(clock.now(), request.id, number, note, share);
             }
         });
     }
 
     @Override
     public double slots() {
-        return open.job.slots;
+        return request.job.slots;
     }
 
     @Override
     public boolean senderKnewOfRestart() {
-        return knew;
+        return senderKnewOfRestart;
     }
 
     @Override
     public double memory() {
-        return open.job.slots * open.job.jobClass.memory();
+        return request.job.slots * request.job.jobClass.memoryPerSlot();
     }
 
     @Override
     public double work() {
-        return failing ? Math.min(FAILS_WITHIN, open.job.work) : open.job.work;
+        return willFail ? Math.min(MAX_WORK_BEFORE_FAILURE, request.job.work) : request.job.work;
     }
 
     @Override
     public void started() {
-        open.job.started(node, cameAt, open);
+        request.job.recordStart(node, arrivedAt, request);
         if (scheduler.settings().notesStart) {
-            note(Note.STARTED, 0);
+            sendNote(Note.STARTED, 0);
         }
     }
 
     @Override
     public void progress(double share) {
-        note(Note.PROGRESS, share);
+        sendNote(Note.PROGRESS, share);
     }
 
     @Override
     public void done() {
-        if (open.answered || !scheduler.lives(born)) {
-            world.report.wasted(open.job.work * open.job.slots); // done for nobody
+        if (request.answered || !scheduler.isIncarnation(incarnation)) {
+            emulation.report.recordWastedWork(request.job.work * request.job.slots); // done for nobody
         }
-        back(() -> end(failing ? Status.ERROR : Status.OK));
+        runAtScheduler(() -> finish(willFail ? Status.ERROR : Status.OK));
     }
 
     @Override
     public void failed() {
-        back(() -> end(Status.ERROR));
+        runAtScheduler(() -> finish(Status.ERROR));
     }
 
     @Override
     public void returned() {
-        back(() -> end(Status.FULL));
+        runAtScheduler(() -> finish(Status.FULL));
     }
 
     @Override
     public void lost() {
-        back(() -> end(Status.RESET));
+        runAtScheduler(() -> finish(Status.RESET));
     }
 }
--- a/src/main/java/barrowshore/emulate/ClientJob.java
+++ b/src/main/java/barrowshore/emulate/ClientJob.java
@@ -1,6 +1,6 @@
 package barrowshore.emulate;
 
-import barrowshore.emulate.Deployment.ClassOf;
+import barrowshore.emulate.Deployment.ClassSpec;
 import barrowshore.module.DispatchApi.RepeatSafety;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,32 +10,32 @@
  * started, and whether it was served.
  */
 final class ClientJob {
-    private record Start(EmulatedNode node, long came, Object request) {}
+    private record Start(EmulatedNode node, long arrivedAt, Object request) {}
 
-    private final World world;
-    final ClassOf jobClass;
+    private final Emulation emulation;
+    final ClassSpec jobClass;
 
-    final int type;
+    final int classIndex;
     final int zone;
     final double slots;
     final double work;
-    final double guess;
-    final long since;
+    final double workHint;
+    final long createdAt;
     final int tenant;
-    int tries;
+    int tryCount;
     boolean served;
     /** Where it has started, and when it had come there. */
     private final List<Start> starts = new ArrayList<>(1);
 
-    ClientJob(World world, int type, int zone, double slots, double work, double guess, int tenant) {
-        this.world = world;
-        this.jobClass = world.deployment.classes().get(type);
-        this.since = world.kernel.now();
-        this.type = type;
+    ClientJob(Emulation emulation, int classIndex, int zone, double slots, double work, double workHint, int tenant) {
+        this.emulation = emulation;
+        this.jobClass = emulation.deployment.classes().get(classIndex);
+        this.createdAt = emulation.clock.now();
+        this.classIndex = classIndex;
         this.zone = zone;
         this.slots = slots;
         this.work = work;
-        this.guess = guess;
+        this.workHint = workHint;
         this.tenant = tenant;
     }
 
@@ -43,35 +43,37 @@
      * It started on a node. A second start breaks a rule unless its class is safe, or the node drops repeats. A keyed
      * job that a client sends again is another request: schedulers are not told when the key was first used.
      */
-    void started(EmulatedNode node, long came, Object request) {
-        for (Start s : starts) {
-            boolean dropped = jobClass.effect() == RepeatSafety.KEYED
-                    && (s.request != request
-                            || came - s.came < jobClass.window()
-                                    && switch (jobClass.scope()) {
+    void recordStart(EmulatedNode node, long arrivedAt, Object request) {
+        for (Start earlier : starts) {
+            boolean deduplicated = jobClass.repeatSafety() == RepeatSafety.KEYED
+                    && (earlier.request != request
+                            || arrivedAt - earlier.arrivedAt < jobClass.repeatWindowMicros()
+                                    && switch (jobClass.dedupScope()) {
                                         case ALL -> true;
-                                        case ZONE -> s.node.zone == node.zone;
-                                        case CELL -> s.node.cell == node.cell;
+                                        case ZONE -> earlier.node.zone == node.zone;
+                                        case CELL -> earlier.node.cell == node.cell;
                                     });
-            world.report.twice += jobClass.effect() == RepeatSafety.SAFE || dropped ? 0 : 1;
+            emulation.report.duplicateRuns += jobClass.repeatSafety() == RepeatSafety.SAFE || deduplicated ? 0 : 1;
         }
-        starts.add(new Start(node, came, request));
+        starts.add(new Start(node, arrivedAt, request));
     }
 
     /** A client knows how long nodes remember its key. */
-    boolean mayTryAgain(long after) {
-        return jobClass.effect() != RepeatSafety.KEYED
+    boolean mayRetry(long delay) {
+        return jobClass.repeatSafety() != RepeatSafety.KEYED
                 || starts.stream()
-                        .allMatch(s -> world.kernel.now() + after + jobClass.deadline() - s.came < jobClass.window());
+                        .allMatch(s -> emulation.clock.now() + delay + jobClass.deadlineMicros() - s.arrivedAt
+                                < jobClass.repeatWindowMicros());
     }
 
     /** What it pays: its class's worth, for each unit of work where the site counts so. */
     double worth() {
-        return jobClass.worth() * (world.deployment.prices().worthByWork() ? work * slots / jobClass.work() : 1);
+        return jobClass.worth()
+                * (emulation.deployment.charges().worthByWork() ? work * slots / jobClass.meanWork() : 1);
     }
 
     /** Whether an answer now comes within what its class aims at. */
-    boolean inTime() {
-        return world.kernel.now() - since <= jobClass.aim() + jobClass.stretch() * work;
+    boolean isInTime() {
+        return emulation.clock.now() - createdAt <= jobClass.targetMicros() + jobClass.targetStretch() * work;
     }
 }
--- a/src/main/java/barrowshore/emulate/Clients.java
+++ b/src/main/java/barrowshore/emulate/Clients.java
@@ -1,100 +1,109 @@
 package barrowshore.emulate;
 
-import barrowshore.emulate.Deployment.ClassOf;
+import barrowshore.emulate.Deployment.ClassSpec;
 import java.util.List;
 
 /** All clients: they come at the day's rate, pick a scheduler of their zone, and try again after a refusal or a failure. */
 final class Clients {
-    private static final int TENANTS = 7;
+    private static final int TENANT_COUNT = 7;
     /** The sizes that jobs have, by the columns of a class's shares. */
-    private static final double[] SLOTS = {1, 2, 4};
+    private static final double[] SLOTS_BY_COLUMN = {1, 2, 4};
 
-    private final World world;
-    private final VirtualClock kernel;
-    private final Draws draws;
+    private final Emulation emulation;
+    private final VirtualClock clock;
+    private final RandomSources random;
     private final Scenario scenario;
     private final Deployment deployment;
-    private final List<ClassOf> classes;
+    private final List<ClassSpec> classes;
     /** Arrivals in a microsecond. */
-    private final double rate;
+    private final double arrivalsPerMicro;
 
-    private double burst = 1;
+    private double burstFactor = 1;
 
-    Clients(World world, double rate) {
-        this.world = world;
-        this.kernel = world.kernel;
-        this.draws = world.draws;
-        this.scenario = world.scenario;
-        this.deployment = world.deployment;
+    Clients(Emulation emulation, double arrivalsPerMicro) {
+        this.emulation = emulation;
+        this.clock = emulation.clock;
+        this.random = emulation.random;
+        this.scenario = emulation.scenario;
+        this.deployment = emulation.deployment;
         this.classes = deployment.classes();
-        this.rate = rate;
+        this.arrivalsPerMicro = arrivalsPerMicro;
     }
 
     /** So many times as many come, for that long. */
-    void burst(double factor, long lasts) {
-        burst *= factor;
-        kernel.runAfter(lasts, () -> burst /= factor);
+    void startBurst(double factor, long duration) {
+        burstFactor *= factor;
+        clock.runAfter(duration, () -> burstFactor /= factor);
     }
 
     /** The arrival that is due, and so on until the day ends. */
     void nextArrival() {
-        if (kernel.now() >= World.START + scenario.length()) {
+        if (clock.now() >= Emulation.START + scenario.lengthMicros()) {
             return;
         }
-        arrive();
-        kernel.runAfter((long) Math.max(1, draws.interval() / (rate * burst)), this::nextArrival);
+        createJob();
+        clock.runAfter((long) Math.max(1, random.interarrival() / (arrivalsPerMicro * burstFactor)), this::nextArrival);
     }
 
-    private void arrive() {
-        double pick = draws.day.nextDouble();
-        int type = 0;
-        while (type < classes.size() - 1 && (pick -= classes.get(type).share()) > 0) {
-            type++;
+    private void createJob() {
+        double classPick = random.clients.nextDouble();
+        int classIndex = 0;
+        while (classIndex < classes.size() - 1
+                && (classPick -= classes.get(classIndex).share()) > 0) {
+            classIndex++;
         }
-        ClassOf k = classes.get(type);
-        double chance = draws.day.nextDouble();
-        int s = 0;
-        while (s < k.slots().length - 1 && (chance -= k.slots()[s]) > 0) {
-            s++;
+        ClassSpec jobClass = classes.get(classIndex);
+        double sizePick = random.clients.nextDouble();
+        int column = 0;
+        while (column < jobClass.slotShares().length - 1 && (sizePick -= jobClass.slotShares()[column]) > 0) {
+            column++;
         }
-        double all = scenario.zones().stream()
+        double totalShare = scenario.zones().stream()
                 .mapToDouble(Scenario.ZoneSpec::clients)
                 .sum();
-        double where = draws.day.nextDouble() * all;
+        double zonePick = random.clients.nextDouble() * totalShare;
         int zone = 0;
         while (zone < scenario.zones().size() - 1
-                && (where -= scenario.zones().get(zone).clients()) > 0) {
+                && (zonePick -= scenario.zones().get(zone).clients()) > 0) {
             zone++;
         }
-        double work = draws.work(type),
-                guess =
-                        switch (deployment.told().hints()) {
+        double work = random.work(classIndex),
+                workHint =
+                        switch (deployment.visibility().hints()) {
                             case NONE -> 0;
-                            case GOOD -> work * Math.exp(0.1 * draws.normal());
-                            case MISLEADING -> k.work() * Math.exp(1.5 * draws.normal());
+                            case GOOD -> work * Math.exp(0.1 * random.normal());
+                            case MISLEADING -> jobClass.meanWork() * Math.exp(1.5 * random.normal());
                         };
-        ClientJob job = new ClientJob(world, type, zone, SLOTS[s], work, guess, draws.day.nextInt(TENANTS));
-        world.report.asked(kernel.now() - World.START, job.zone, job.type, job.worth(), job.work * job.slots);
-        attempt(job);
+        ClientJob job = new ClientJob(
+                emulation,
+                classIndex,
+                zone,
+                SLOTS_BY_COLUMN[column],
+                work,
+                workHint,
+                random.clients.nextInt(TENANT_COUNT));
+        emulation.report.recordOffered(
+                clock.now() - Emulation.START, job.zone, job.classIndex, job.worth(), job.work * job.slots);
+        send(job);
     }
 
-    private void attempt(ClientJob job) {
-        job.tries++;
-        List<EmulatedScheduler> there =
-                world.schedulers.stream().filter(s -> s.zone == job.zone).toList();
-        EmulatedScheduler to = there.get(draws.random.nextInt(there.size()));
-        if (!to.up()) {
+    private void send(ClientJob job) {
+        job.tryCount++;
+        List<EmulatedScheduler> candidates =
+                emulation.schedulers.stream().filter(s -> s.zone == job.zone).toList();
+        EmulatedScheduler scheduler = candidates.get(random.other.nextInt(candidates.size()));
+        if (!scheduler.isUp()) {
             retry(job, 0); // nobody there: the front has not noticed yet
             return;
         }
-        to.open(job);
+        scheduler.accept(job);
     }
 
     /** The client tries again no sooner than that, unless it has tried often enough or may not. */
-    void retry(ClientJob job, long after) {
-        long wait = Math.max(after, draws.between(6, 48));
-        if (job.tries <= scenario.retries() && job.mayTryAgain(wait)) {
-            kernel.runAfter(wait, () -> attempt(job));
+    void retry(ClientJob job, long minDelay) {
+        long delay = Math.max(minDelay, random.delayMicros(6, 48));
+        if (job.tryCount <= scenario.retries() && job.mayRetry(delay)) {
+            clock.runAfter(delay, () -> send(job));
         }
     }
 }
--- a/src/main/java/barrowshore/emulate/DeploymentComparison.java
+++ b/src/main/java/barrowshore/emulate/DeploymentComparison.java
@@ -24,19 +24,23 @@
  */
 public final class DeploymentComparison {
     /** How many deployments are printed by default, and how far behind a rival counts as lost. */
-    private static final int SHOWN = 20;
+    private static final int PRINTED_DEPLOYMENTS = 20;
 
-    private static final double MISSED = 0.03;
+    private static final double BEHIND_MARGIN = 0.03;
 
     /** One deployment: what each made of its day; score 0 where a rule was broken. */
-    record Row(long seed, Deployment.Drawn drawn, Report module, Map<BaselineDispatcher.Policy, Double> rivals) {
+    record Result(
+            long seed,
+            Deployment.DrawnDeployment drawn,
+            Report module,
+            Map<BaselineDispatcher.Policy, Double> baselineScores) {
         double score() {
-            return module.broken() > 0 ? 0 : module.priced();
+            return module.violationCount() > 0 ? 0 : module.score();
         }
 
         /** The best that does not see true state. */
-        BaselineDispatcher.Policy best() {
-            return rivals.entrySet().stream()
+        BaselineDispatcher.Policy bestBaseline() {
+            return baselineScores.entrySet().stream()
                     .filter(e -> e.getKey() != BaselineDispatcher.Policy.TRUE_STATE)
                     .max(Map.Entry.comparingByValue())
                     .orElseThrow()
@@ -44,7 +48,7 @@
         }
 
         double lead() {
-            return rivals.isEmpty() ? 0 : score() - rivals.get(best());
+            return baselineScores.isEmpty() ? 0 : score() - baselineScores.get(bestBaseline());
         }
     }
 
@@ -55,7 +59,7 @@
         if (count < 1) {
             throw new ConfigException("--deployments must be at least 1");
         }
-        List<Row> rows = play(count, seed, rivals);
+        List<Result> rows = play(count, seed, rivals);
         print(out, rows, rivals);
         if (count == 1) {
             out.println();
@@ -66,47 +70,50 @@
         }
     }
 
-    static List<Row> play(int count, long seed, boolean rivals) {
+    static List<Result> play(int count, long seed, boolean rivals) {
         return LongStream.range(seed, seed + count)
                 .parallel()
                 .mapToObj(s -> play(s, rivals))
                 .toList();
     }
 
-    private static Row play(long seed, boolean rivals) {
-        Deployment.Drawn drawn = Deployment.draw(seed);
-        Report module =
-                new World(drawn.day(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::module).play();
+    private static Result play(long seed, boolean rivals) {
+        Deployment.DrawnDeployment drawn = Deployment.draw(seed);
+        Report module = new Emulation(
+                        drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::productionModule)
+                .play();
         Map<BaselineDispatcher.Policy, Double> scores = new EnumMap<>(BaselineDispatcher.Policy.class);
-        for (BaselineDispatcher.Policy rule :
+        for (BaselineDispatcher.Policy policy :
                 rivals ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
-            Report r = new World(
-                            drawn.day(),
+            Report report = new Emulation(
+                            drawn.scenario(),
                             drawn.deployment(),
                             OperatorSettings.NONE,
                             seed,
-                            rival(rule, drawn.deployment()))
+                            baselineFactory(policy, drawn.deployment()))
                     .play();
-            scores.put(rule, r.broken() > 0 ? 0 : r.priced());
+            scores.put(policy, report.violationCount() > 0 ? 0 : report.score());
         }
-        return new Row(seed, drawn, module, scores);
+        return new Result(seed, drawn, module, scores);
     }
 
-    private static World.Modules rival(BaselineDispatcher.Policy rule, Deployment deployment) {
+    private static Emulation.ModuleFactory baselineFactory(BaselineDispatcher.Policy policy, Deployment deployment) {
         double meanWork = deployment.classes().stream()
-                .mapToDouble(k -> k.share() * k.work())
+                .mapToDouble(jobClass -> jobClass.share() * jobClass.meanWork())
                 .sum();
-        return (settings, actions, truth) -> new BaselineDispatcher(
-                rule,
+        return (settings, actions, trueState) -> new BaselineDispatcher(
+                policy,
                 settings,
                 actions,
                 new SplittableRandom(settings.seed)::nextDouble,
-                (worker, slots) -> truth.startsIn(worker, slots) + meanWork / truth.pace(worker, slots));
+                (worker, slots) ->
+                        trueState.expectedStartDelay(worker, slots) + meanWork / trueState.speed(worker, slots));
     }
 
-    private static void print(PrintStream out, List<Row> rows, boolean rivals) {
-        int broken = (int) rows.stream().filter(r -> r.module.broken() > 0).count();
-        double mean = rows.stream().mapToDouble(Row::score).average().orElse(0);
+    private static void print(PrintStream out, List<Result> rows, boolean rivals) {
+        int broken =
+                (int) rows.stream().filter(r -> r.module.violationCount() > 0).count();
+        double mean = rows.stream().mapToDouble(Result::score).average().orElse(0);
         out.printf(
                 Locale.ROOT,
                 "%d deployments from seed %d: worth served less deductions %.3f on average; rules broken on %d%n",
@@ -116,55 +123,55 @@
                 broken);
         if (rivals) {
             long ahead = rows.stream().filter(r -> r.lead() >= 0).count();
-            long missed = rows.stream().filter(r -> r.lead() < -MISSED).count();
+            long behind = rows.stream().filter(r -> r.lead() < -BEHIND_MARGIN).count();
             out.printf(
                     Locale.ROOT,
                     "the best blind rival is beaten on %.1f%%, by %.3f on average; behind it by over %.2f on %d%n",
                     100.0 * ahead / rows.size(),
-                    rows.stream().mapToDouble(Row::lead).average().orElse(0),
-                    MISSED,
-                    missed);
-            for (BaselineDispatcher.Policy rule : BaselineDispatcher.Policy.values()) {
+                    rows.stream().mapToDouble(Result::lead).average().orElse(0),
+                    BEHIND_MARGIN,
+                    behind);
+            for (BaselineDispatcher.Policy policy : BaselineDispatcher.Policy.values()) {
                 out.printf(
                         Locale.ROOT,
                         "  %-20s %.3f%n",
-                        name(rule),
+                        displayName(policy),
                         rows.stream()
-                                .mapToDouble(r -> r.rivals.get(rule))
+                                .mapToDouble(r -> r.baselineScores.get(policy))
                                 .average()
                                 .orElse(0));
             }
-            features(out, rows);
+            printLeadByFeature(out, rows);
         }
         out.printf(
                 "%n%-6s %7s %7s %-20s %7s %s  %s%n",
                 "seed", "module", "lead", rivals ? "against" : "", "sighted", "rules", "what is on");
         rows.stream()
-                .sorted(Comparator.comparingDouble(rivals ? Row::lead : Row::score))
-                .limit(SHOWN)
+                .sorted(Comparator.comparingDouble(rivals ? Result::lead : Result::score))
+                .limit(PRINTED_DEPLOYMENTS)
                 .forEach(r -> out.printf(
                         Locale.ROOT,
                         "%-6d %7.3f %7.3f %-20s %7.3f %s  %s%n",
                         r.seed,
                         r.score(),
                         r.lead(),
-                        rivals ? name(r.best()) : "",
-                        rivals ? r.rivals.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
-                        r.module.rulesBroken(),
-                        what(r)));
+                        rivals ? displayName(r.bestBaseline()) : "",
+                        rivals ? r.baselineScores.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
+                        r.module.violations(),
+                        describe(r)));
     }
 
     /** What the module's lead is where a feature is on: the feature that costs most comes first. */
-    private static void features(PrintStream out, List<Row> rows) {
+    private static void printLeadByFeature(PrintStream out, List<Result> rows) {
         Map<String, List<Double>> leads = new TreeMap<>();
-        for (Row r : rows) {
-            for (String feature : r.drawn.deployment().features().split(", ")) {
+        for (Result result : rows) {
+            for (String feature : result.drawn.deployment().features().split(", ")) {
                 leads.computeIfAbsent(feature.replaceAll("cross [0-9.]+ ms", "crossing"), f -> new ArrayList<>())
-                        .add(r.lead());
+                        .add(result.lead());
             }
-            r.drawn.day().happenings().forEach(h -> leads.computeIfAbsent(
-                            h.what().name().toLowerCase(Locale.ROOT), f -> new ArrayList<>())
-                    .add(r.lead()));
+            result.drawn.scenario().events().forEach(h -> leads.computeIfAbsent(
+                            h.type().name().toLowerCase(Locale.ROOT), f -> new ArrayList<>())
+                    .add(result.lead()));
         }
         out.printf("%n%-28s %6s %10s %10s%n", "where this is on", "count", "mean lead", "behind");
         leads.entrySet().stream()
@@ -180,37 +187,38 @@
                                 / e.getValue().size()));
     }
 
-    private static double mean(List<Double> of) {
-        return of.stream().mapToDouble(Double::doubleValue).average().orElse(0);
+    private static double mean(List<Double> values) {
+        return values.stream().mapToDouble(Double::doubleValue).average().orElse(0);
     }
 
-    private static String name(BaselineDispatcher.Policy rule) {
-        return rule.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+    private static String displayName(BaselineDispatcher.Policy policy) {
+        return policy.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    private static String what(Row r) {
-        Scenario day = r.drawn.day();
+    private static String describe(Result result) {
+        Scenario scenario = result.drawn.scenario();
         return String.format(
                 Locale.ROOT,
                 "%d zones, %d schedulers, %d nodes, load %.2f%s; %s",
-                day.zones().size(),
-                day.schedulers(),
-                day.zones().stream().mapToInt(Scenario.ZoneSpec::nodes).sum(),
-                day.load(),
-                day.happenings().stream()
-                        .map(h -> ", " + h.what().name().toLowerCase(Locale.ROOT))
+                scenario.zones().size(),
+                scenario.schedulers(),
+                scenario.zones().stream().mapToInt(Scenario.ZoneSpec::nodes).sum(),
+                scenario.load(),
+                scenario.events().stream()
+                        .map(h -> ", " + h.type().name().toLowerCase(Locale.ROOT))
                         .reduce("", String::concat),
-                r.drawn.deployment().features());
+                result.drawn.deployment().features());
     }
 
-    private static void write(Path csv, List<Row> rows) throws IOException {
+    private static void write(Path csv, List<Result> rows) throws IOException {
         StringBuilder text = new StringBuilder("seed,module,broken");
-        rows.get(0).rivals.keySet().forEach(rule -> text.append(',').append(name(rule)));
+        rows.get(0).baselineScores.keySet().forEach(policy -> text.append(',').append(displayName(policy)));
         text.append(",what\n");
-        for (Row r : rows) {
-            text.append(String.format(Locale.ROOT, "%d,%.4f,%d", r.seed, r.score(), r.module.broken()));
-            r.rivals.values().forEach(score -> text.append(String.format(Locale.ROOT, ",%.4f", score)));
-            text.append(",\"").append(what(r)).append("\"\n");
+        for (Result result : rows) {
+            text.append(String.format(
+                    Locale.ROOT, "%d,%.4f,%d", result.seed, result.score(), result.module.violationCount()));
+            result.baselineScores.values().forEach(score -> text.append(String.format(Locale.ROOT, ",%.4f", score)));
+            text.append(",\"").append(describe(result)).append("\"\n");
         }
         Files.writeString(csv, text);
     }
--- a/src/main/java/barrowshore/emulate/EmulatedNode.java
+++ b/src/main/java/barrowshore/emulate/EmulatedNode.java
@@ -14,13 +14,13 @@
  */
 final class EmulatedNode {
     /** Machines in a cell. */
-    private static final int CELL = 4;
+    private static final int NODES_PER_CELL = 4;
     /** How long a machine that is drained may go on. */
-    private static final long DRAIN_TIME = 15 * World.S;
+    private static final long MAX_DRAIN_TIME = 15 * Emulation.SECOND;
 
-    private final World world;
-    private final VirtualClock kernel;
-    private final Draws draws;
+    private final Emulation emulation;
+    private final VirtualClock clock;
+    private final RandomSources random;
     private final Deployment deployment;
 
     final String id;
@@ -31,136 +31,146 @@
     final int cell;
 
     final WorkerModel model;
-    double errors;
-    boolean vanished;
-    boolean gone;
+    double errorShare;
+    boolean disconnected;
+    boolean replaced;
     Health health = Health.READY;
-    long boot;
+    long startedAt;
     /** What it has to say while it is cut off; it says it when it is back. */
-    final List<Runnable> unsaid = new ArrayList<>();
+    final List<Runnable> heldAnswers = new ArrayList<>();
     /** As its load was last reported; null: not yet, or such reports tell nothing. */
-    Load reported;
+    Load reportedLoad;
     /** The weight that the list tells of it. */
     double weight;
 
-    EmulatedNode(World world, String id, int number, int zone, int kind, WorkerModel.Spec spec) {
-        this.world = world;
-        this.kernel = world.kernel;
-        this.draws = world.draws;
-        this.deployment = world.deployment;
+    EmulatedNode(Emulation emulation, String id, int number, int zone, int kind, WorkerModel.Spec spec) {
+        this.emulation = emulation;
+        this.clock = emulation.clock;
+        this.random = emulation.random;
+        this.deployment = emulation.deployment;
         this.id = id;
         this.number = number;
-        this.cell = number / CELL;
+        this.cell = number / NODES_PER_CELL;
         this.zone = zone;
         this.kind = kind;
-        Deployment.Rules rules = deployment.rules();
+        Deployment.ColdStart coldStart = deployment.coldStart();
         this.model = new WorkerModel(
-                kernel,
+                clock,
                 spec,
-                new WorkerModel.OverloadLimit(rules.fallMultiple(), rules.fall(), world.meanSize),
-                deployment.told().progress());
-        weight = size();
-        Deployment.Told told = deployment.told();
-        long every = (long) draws.fated(told.period()[0], told.period()[1]),
-                late = (long) draws.fated(told.delay()[0], told.delay()[1]);
-        kernel.runAfter((long) (draws.fate.nextDouble() * every), () -> renew(every, late));
+                new WorkerModel.OverloadLimit(
+                        coldStart.overloadMultiple(), coldStart.overloadWindowMicros(), emulation.meanJobSize),
+                deployment.visibility().progressMicros());
+        weight = registeredSize();
+        Deployment.Visibility visibility = deployment.visibility();
+        long
+                period =
+                        (long) random.faultUniform(
+                                visibility.reportPeriodMicros()[0], visibility.reportPeriodMicros()[1]),
+                delay =
+                        (long) random.faultUniform(
+                                visibility.reportDelayMicros()[0], visibility.reportDelayMicros()[1]);
+        clock.runAfter((long) (random.faults.nextDouble() * period), () -> reportLoad(period, delay));
     }
 
     /** Its load as it is now comes to be known a while later, and so does a weight that follows it. */
-    private void renew(long every, long late) {
-        Deployment.Told told = deployment.told();
+    private void reportLoad(long period, long delay) {
+        Deployment.Visibility visibility = deployment.visibility();
         Load load = new Load(
-                told.inFlight() ? noisy(model.jobCount()) : Double.NaN,
-                told.queue() ? noisy(model.waitingJobs()) : Double.NaN,
-                told.free() ? noisy(model.freeSlots()) : Double.NaN);
-        kernel.runAfter(late, () -> reported = load);
-        if (told.weights() == Deployment.Weights.LIVE) {
-            weight = size() / (1 + model.jobCount() / (double) model.spec().cores());
-            tell(health, late);
+                visibility.reportsInFlight() ? withNoise(model.jobCount()) : Double.NaN,
+                visibility.reportsQueue() ? withNoise(model.waitingJobs()) : Double.NaN,
+                visibility.reportsFreeSlots() ? withNoise(model.freeSlots()) : Double.NaN);
+        clock.runAfter(delay, () -> reportedLoad = load);
+        if (visibility.weights() == Deployment.Weights.LIVE) {
+            weight = registeredSize()
+                    / (1 + model.jobCount() / (double) model.spec().cores());
+            publish(health, delay);
         }
-        if (kernel.now() < world.end()) {
-            kernel.runAfter(every, () -> renew(every, late));
+        if (clock.now() < emulation.endTime()) {
+            clock.runAfter(period, () -> reportLoad(period, delay));
         }
     }
 
     /** What is registered of it: its cores, by their usual speed where the site counts so. */
-    private double size() {
-        Deployment.Machine m = deployment.machines().get(kind);
-        return deployment.told().weights() == Deployment.Weights.NONE
+    private double registeredSize() {
+        Deployment.MachineKind machine = deployment.machines().get(kind);
+        return deployment.visibility().weights() == Deployment.Weights.NONE
                 ? 1
-                : model.spec().cores() * (deployment.told().bySpeed() ? (m.speedFrom() + m.speedTo()) / 2 : 1);
+                : model.spec().cores()
+                        * (deployment.visibility().weightsBySpeed()
+                                ? (machine.speedFrom() + machine.speedTo()) / 2
+                                : 1);
     }
 
-    private double noisy(double figure) {
-        double noise = deployment.told().noise();
-        return noise == 0 ? figure : Math.max(0, figure * (1 + noise * draws.normal()));
+    private double withNoise(double figure) {
+        double noise = deployment.visibility().reportNoise();
+        return noise == 0 ? figure : Math.max(0, figure * (1 + noise * random.normal()));
     }
 
-    Evenness.Look look() {
-        boolean usable = model.isUp() && !vanished && !model.isHung() && health == Health.READY && !gone;
-        return new Evenness.Look(usable ? model.capacity() : 0, model.freeSlots(), model.waitingSlots());
+    LoadBalanceStats.NodeSample sample() {
+        boolean usable = model.isUp() && !disconnected && !model.isHung() && health == Health.READY && !replaced;
+        return new LoadBalanceStats.NodeSample(usable ? model.capacity() : 0, model.freeSlots(), model.waitingSlots());
     }
 
     /** Its line of the list. */
-    Member entry() {
-        return new Member(id, health, weight, cell, kind, zone, boot);
+    Member listEntry() {
+        return new Member(id, health, weight, cell, kind, zone, startedAt);
     }
 
-    boolean reachable(EmulatedScheduler from) {
-        return !vanished && !from.cutFrom.contains(zone);
+    boolean isReachableFrom(EmulatedScheduler scheduler) {
+        return !disconnected && !scheduler.cutFrom.contains(zone);
     }
 
     /** The list hears of it late, each scheduler a little apart. */
-    void tell(Health now, long late) {
-        health = now;
-        Member entry = entry();
-        for (EmulatedScheduler s : world.schedulers) {
-            kernel.runAfter(late + draws.between(13, 110), () -> s.list(ListKind.CHANGES, List.of(entry)));
+    void publish(Health newHealth, long delay) {
+        health = newHealth;
+        Member entry = listEntry();
+        for (EmulatedScheduler s : emulation.schedulers) {
+            clock.runAfter(delay + random.delayMicros(13, 110), () -> s.updateList(ListKind.CHANGES, List.of(entry)));
         }
     }
 
-    void vanish() {
-        vanished = true;
-        long late = draws.between(5200, 12000);
-        kernel.runAfter(late, () -> {
-            if (vanished) {
-                tell(Health.GONE, 0);
+    void disconnect() {
+        disconnected = true;
+        long delay = random.delayMicros(5200, 12000);
+        clock.runAfter(delay, () -> {
+            if (disconnected) {
+                publish(Health.GONE, 0);
             }
         });
     }
 
-    void appear() {
-        vanished = false;
-        List<Runnable> late = List.copyOf(unsaid);
-        unsaid.clear();
-        late.forEach(run -> kernel.runAfter(draws.between(1, 200), run));
+    void reconnect() {
+        disconnected = false;
+        List<Runnable> answers = List.copyOf(heldAnswers);
+        heldAnswers.clear();
+        answers.forEach(answer -> clock.runAfter(random.delayMicros(1, 200), answer));
         if (health == Health.GONE) {
-            tell(Health.READY, draws.between(260, 1800));
+            publish(Health.READY, random.delayMicros(260, 1800));
         }
-        world.schedulers.forEach(s -> s.reconnect(zone));
+        emulation.schedulers.forEach(s -> s.deliverHeld(zone));
     }
 
-    void die(long late) {
+    void crash(long listDelay) {
         model.crash();
-        tell(Health.GONE, late);
+        publish(Health.GONE, listDelay);
     }
 
     void drain() {
         model.setDraining(true);
-        tell(Health.DRAINING, draws.between(260, 1800));
-        kernel.runAfter(DRAIN_TIME, () -> {
+        publish(Health.DRAINING, random.delayMicros(260, 1800));
+        clock.runAfter(MAX_DRAIN_TIME, () -> {
             if (health == Health.DRAINING) {
-                die(draws.between(260, 1800));
+                crash(random.delayMicros(260, 1800));
             }
         });
     }
 
-    void rise() {
+    void restart() {
         model.crash();
         model.restart();
         if (model.isUp()) {
-            boot = kernel.now();
-            tell(Health.READY, draws.between(260, 1800));
+            startedAt = clock.now();
+            publish(Health.READY, random.delayMicros(260, 1800));
         }
     }
 }
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -1,6 +1,6 @@
 package barrowshore.emulate;
 
-import barrowshore.emulate.Deployment.ClassOf;
+import barrowshore.emulate.Deployment.ClassSpec;
 import barrowshore.halls.HallState;
 import barrowshore.module.DispatchApi;
 import barrowshore.module.DispatchApi.Health;
@@ -24,98 +24,109 @@
  * owns the module's life: what is on its way to one that has died is never heard of.
  */
 final class EmulatedScheduler implements DispatchApi.Actions {
-    static final long CONNECT_TIMEOUT = 250 * World.MS;
-    private static final long PROBE_TIMEOUT = 400 * World.MS;
+    static final long CONNECT_TIMEOUT_MICROS = 250 * Emulation.MILLISECOND;
+    private static final long PROBE_TIMEOUT_MICROS = 400 * Emulation.MILLISECOND;
     /** An answer must have left that long before a client's deadline. */
-    private static final long ANSWER_MARGIN = 25 * World.MS;
+    private static final long ANSWER_MARGIN_MICROS = 25 * Emulation.MILLISECOND;
 
-    private final World world;
-    private final VirtualClock kernel;
-    private final Draws draws;
+    private final Emulation emulation;
+    private final VirtualClock clock;
+    private final RandomSources random;
     private final Scenario scenario;
     private final Deployment deployment;
-    private final List<ClassOf> classes;
+    private final List<ClassSpec> classes;
     private final Report report;
 
     final int number;
     final int zone;
     final Set<Integer> cutFrom = new HashSet<>();
-    final double[] out;
-    final Map<String, Health> listed = new HashMap<>();
-    final Map<String, Long> bootsHeard = new HashMap<>();
-    List<HallState> states = List.of();
+    final double[] outstandingSlots;
+    final Map<String, Health> listedHealth = new HashMap<>();
+    final Map<String, Long> listedStartTimes = new HashMap<>();
+    List<HallState> sampledHallStates = List.of();
     private final Map<String, OpenRequest> requests = new HashMap<>();
-    private final List<Runnable>[] held;
+    private final List<Runnable>[] heldMessages;
     private DispatchApi module;
     private Settings settings;
-    private int life;
+    private int incarnation;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    EmulatedScheduler(World world, int number, int zone) {
-        this.world = world;
-        this.kernel = world.kernel;
-        this.draws = world.draws;
-        this.scenario = world.scenario;
-        this.deployment = world.deployment;
+    EmulatedScheduler(Emulation emulation, int number, int zone) {
+        this.emulation = emulation;
+        this.clock = emulation.clock;
+        this.random = emulation.random;
+        this.scenario = emulation.scenario;
+        this.deployment = emulation.deployment;
         this.classes = deployment.classes();
-        this.report = world.report;
-        this.out = new double[scenario.zones().size()];
+        this.report = emulation.report;
+        this.outstandingSlots = new double[scenario.zones().size()];
         this.number = number;
         this.zone = zone;
-        held = new List[scenario.zones().size()];
+        heldMessages = new List[scenario.zones().size()];
     }
 
     /** A process starts: a new module, which is told the whole list. */
     void start() {
         settings = newSettings();
-        states = List.of();
-        listed.clear();
-        bootsHeard.clear();
-        module = world.modules.make(settings, this, world.truth(zone));
-        module.start(kernel.now());
-        whole();
+        sampledHallStates = List.of();
+        listedHealth.clear();
+        listedStartTimes.clear();
+        module = emulation.moduleFactory.create(settings, this, emulation.trueState(zone));
+        module.start(clock.now());
+        sendWholeList();
     }
 
     private Settings newSettings() {
-        Settings set = new Settings();
-        set.seed = draws.random.nextLong();
-        set.dispatchers = world.schedulers.size();
-        set.ownIndex = number;
-        set.zone = zone;
-        set.kinds = deployment.machines().size();
-        set.tickMicros = 5 * World.MS;
-        set.classes = new JobClass[classes.size()];
-        for (int c = 0; c < set.classes.length; c++) {
-            ClassOf k = classes.get(c);
-            set.classes[c] = new JobClass(
-                    k.aim(), k.stretch(), k.deadline(), k.worth(), 0, k.effect(), k.scope(), k.window(), -1, 0);
+        Settings moduleSettings = new Settings();
+        moduleSettings.seed = random.other.nextLong();
+        moduleSettings.dispatchers = emulation.schedulers.size();
+        moduleSettings.ownIndex = number;
+        moduleSettings.zone = zone;
+        moduleSettings.kinds = deployment.machines().size();
+        moduleSettings.tickMicros = 5 * Emulation.MILLISECOND;
+        moduleSettings.classes = new JobClass[classes.size()];
+        for (int c = 0; c < moduleSettings.classes.length; c++) {
+            ClassSpec jobClass = classes.get(c);
+            moduleSettings.classes[c] = new JobClass(
+                    jobClass.targetMicros(),
+                    jobClass.targetStretch(),
+                    jobClass.deadlineMicros(),
+                    jobClass.worth(),
+                    0,
+                    jobClass.repeatSafety(),
+                    jobClass.dedupScope(),
+                    jobClass.repeatWindowMicros(),
+                    -1,
+                    0);
         }
-        set.worthPerWork = deployment.prices().worthByWork();
-        set.maxAttempts = deployment.allowed().attempts();
-        set.mayHedge = deployment.allowed().copies();
-        set.mayCancel = deployment.allowed().cancel();
-        set.mayProbe = scenario.probes();
-        set.mayMessagePeers = deployment.allowed().peers();
-        set.maxRetryAfterMicros = 2 * World.S;
-        set.ratingsReflectLoad = deployment.told().weights() == Deployment.Weights.LIVE;
-        set.pollsList = deployment.told().listAsked();
-        set.reportSource =
-                scenario.probes() ? ReportSource.PROBES : deployment.told().reports();
-        set.notesStart = deployment.told().starts();
-        set.progressMicros = deployment.told().progress();
-        set.connectTimeoutMicros = CONNECT_TIMEOUT;
-        set.startCapacity = deployment.rules().startCapacity();
-        set.warmUpMicros = deployment.rules().cold();
-        set.overloadMultiple = deployment.rules().fallMultiple();
-        set.overloadWindowMicros = deployment.rules().fall();
-        set.crossZoneCharge = deployment.prices().crossing();
-        set.halls =
-                world.operator.halls() == null ? null : world.operator.halls().rulesFor(scenario.zoneNames(), zone);
-        return set;
+        moduleSettings.worthPerWork = deployment.charges().worthByWork();
+        moduleSettings.maxAttempts = deployment.permissions().maxAttempts();
+        moduleSettings.mayHedge = deployment.permissions().hedging();
+        moduleSettings.mayCancel = deployment.permissions().cancelling();
+        moduleSettings.mayProbe = scenario.probes();
+        moduleSettings.mayMessagePeers = deployment.permissions().peerMessages();
+        moduleSettings.maxRetryAfterMicros = 2 * Emulation.SECOND;
+        moduleSettings.ratingsReflectLoad = deployment.visibility().weights() == Deployment.Weights.LIVE;
+        moduleSettings.pollsList = deployment.visibility().pollsList();
+        moduleSettings.reportSource = scenario.probes()
+                ? ReportSource.PROBES
+                : deployment.visibility().reportSource();
+        moduleSettings.notesStart = deployment.visibility().notesStart();
+        moduleSettings.progressMicros = deployment.visibility().progressMicros();
+        moduleSettings.connectTimeoutMicros = CONNECT_TIMEOUT_MICROS;
+        moduleSettings.startCapacity = deployment.coldStart().startCapacity();
+        moduleSettings.warmUpMicros = deployment.coldStart().warmUpMicros();
+        moduleSettings.overloadMultiple = deployment.coldStart().overloadMultiple();
+        moduleSettings.overloadWindowMicros = deployment.coldStart().overloadWindowMicros();
+        moduleSettings.crossZoneCharge = deployment.charges().perCrossing();
+        moduleSettings.halls = emulation.operator.halls() == null
+                ? null
+                : emulation.operator.halls().rulesFor(scenario.zoneNames(), zone);
+        return moduleSettings;
     }
 
     /** Whether it is there, with a module. */
-    boolean up() {
+    boolean isUp() {
         return module != null;
     }
 
@@ -128,149 +139,155 @@
     }
 
     /** How many times it has died. */
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
     /** Whether it has not died since that life. */
-    boolean lives(int born) {
-        return born == life;
+    boolean isIncarnation(int earlier) {
+        return earlier == incarnation;
     }
 
     void forget(OpenRequest request) {
         requests.remove(request.id, request);
     }
 
-    private void whole() {
-        list(
+    private void sendWholeList() {
+        updateList(
                 ListKind.WHOLE,
-                world.nodes.stream()
-                        .filter(n -> n.health != Health.GONE && !n.gone)
-                        .map(EmulatedNode::entry)
+                emulation.nodes.stream()
+                        .filter(n -> n.health != Health.GONE && !n.replaced)
+                        .map(EmulatedNode::listEntry)
                         .toList());
     }
 
     /** The process dies, and all that it knew with it. */
-    void die() {
+    void crash() {
         module = null;
-        life++;
+        incarnation++;
         requests.clear();
-        Arrays.fill(out, 0);
+        Arrays.fill(outstandingSlots, 0);
     }
 
     /** An entry of the list, or the whole of it, has come. */
-    void list(ListKind kind, List<Member> entries) {
+    void updateList(ListKind kind, List<Member> entries) {
         if (module != null) {
             entries.forEach(e -> {
-                listed.put(e.worker(), e.health());
-                bootsHeard.put(e.worker(), e.startedAt());
+                listedHealth.put(e.worker(), e.health());
+                listedStartTimes.put(e.worker(), e.startedAt());
             });
-            module.list(kernel.now(), kind, entries);
+            module.list(clock.now(), kind, entries);
         }
     }
 
     /** Runs it when it has come over from a zone, or once that can be reached again. */
-    void over(int from, int born, Runnable run) {
-        kernel.runAfter(draws.way(from, zone), () -> {
-            if (!lives(born)) {
+    void deliverFrom(int fromZone, int sentIn, Runnable action) {
+        clock.runAfter(random.oneWayMicros(fromZone, zone), () -> {
+            if (!isIncarnation(sentIn)) {
                 return;
             }
-            if (cutFrom.contains(from)) {
-                held[from] = held[from] == null ? new ArrayList<>() : held[from];
-                held[from].add(run);
+            if (cutFrom.contains(fromZone)) {
+                heldMessages[fromZone] = heldMessages[fromZone] == null ? new ArrayList<>() : heldMessages[fromZone];
+                heldMessages[fromZone].add(action);
             } else {
-                run.run();
+                action.run();
             }
         });
     }
 
     /** What was on its way from a zone comes at last. */
-    void reconnect(int from) {
-        List<Runnable> late = held[from];
-        held[from] = null;
-        if (late != null) {
-            int born = life;
-            late.forEach(run -> kernel.runAfter(draws.between(1, 200), () -> {
-                if (lives(born)) {
-                    run.run();
+    void deliverHeld(int fromZone) {
+        List<Runnable> messages = heldMessages[fromZone];
+        heldMessages[fromZone] = null;
+        if (messages != null) {
+            int heldIn = incarnation;
+            messages.forEach(message -> clock.runAfter(random.delayMicros(1, 200), () -> {
+                if (isIncarnation(heldIn)) {
+                    message.run();
                 }
             }));
         }
     }
 
     /** A client's request has come. */
-    void open(ClientJob job) {
-        long deadline = kernel.now() + classes.get(job.type).deadline() - ANSWER_MARGIN;
-        OpenRequest open = new OpenRequest(world, this, job, world.nextRequest(), deadline);
-        requests.put(open.id, open);
-        int born = life;
-        kernel.runAt(open.deadline, () -> {
-            if (lives(born)) {
-                open.expire();
+    void accept(ClientJob job) {
+        long deadline = clock.now() + classes.get(job.classIndex).deadlineMicros() - ANSWER_MARGIN_MICROS;
+        OpenRequest request = new OpenRequest(emulation, this, job, emulation.nextRequestId(), deadline);
+        requests.put(request.id, request);
+        int acceptedIn = incarnation;
+        clock.runAt(request.deadline, () -> {
+            if (isIncarnation(acceptedIn)) {
+                request.expire();
             }
         });
-        if (scenario.leaving() > 0 && draws.random.nextDouble() < scenario.leaving()) {
-            kernel.runAfter(draws.between(0, 120), () -> {
-                if (lives(born)) {
-                    open.clientLeaves();
+        if (scenario.leavingShare() > 0 && random.other.nextDouble() < scenario.leavingShare()) {
+            clock.runAfter(random.delayMicros(0, 120), () -> {
+                if (isIncarnation(acceptedIn)) {
+                    request.disconnectClient();
                 }
             });
         }
         module.request(
-                kernel.now(), new Request(open.id, job.type, -1, job.slots, job.guess, open.deadline - kernel.now()));
+                clock.now(),
+                new Request(request.id, job.classIndex, -1, job.slots, job.workHint, request.deadline - clock.now()));
     }
 
     // What the module orders.
 
     @Override
     public void send(String id, String worker, long timeout) {
-        OpenRequest open = requests.get(id);
-        EmulatedNode node = world.node(worker);
-        if (open == null || open.answered) {
-            report.sentAfterEnd++;
+        OpenRequest request = requests.get(id);
+        EmulatedNode node = emulation.node(worker);
+        if (request == null || request.answered) {
+            report.sendsAfterAnswer++;
             return;
         }
-        report.notAllowed +=
-                open.attempts.size() >= settings.maxAttempts || open.outstanding > 0 && !settings.mayHedge ? 1 : 0;
-        Attempt a = new Attempt(world, this, open, open.attempts.size(), node);
-        a.failing = draws.random.nextDouble() < node.errors;
-        open.attempts.add(a);
-        open.outstanding++;
-        out[node.zone] += open.job.slots;
-        HallState stands = world.operator.halls() == null
+        report.forbiddenActions +=
+                request.attempts.size() >= settings.maxAttempts || request.outstanding > 0 && !settings.mayHedge
+                        ? 1
+                        : 0;
+        Attempt attempt = new Attempt(emulation, this, request, request.attempts.size(), node);
+        attempt.willFail = random.other.nextDouble() < node.errorShare;
+        request.attempts.add(attempt);
+        request.outstanding++;
+        outstandingSlots[node.zone] += request.job.slots;
+        HallState hallState = emulation.operator.halls() == null
                 ? HallState.SERVING
                 : module.hallStates().get(node.zone);
-        report.chosen(kernel.now() - World.START, node.zone, stands == HallState.DARK || stands == HallState.RETURNING);
-        a.go();
+        report.recordChoice(
+                clock.now() - Emulation.START,
+                node.zone,
+                hallState == HallState.DARK || hallState == HallState.RETURNING);
+        attempt.connectAndSend();
     }
 
     @Override
     public void refuse(String id, long retryAfter) {
-        OpenRequest open = requests.get(id);
-        if (open != null) {
-            boolean mayHaveRun = open.attempts.stream().anyMatch(a -> !a.ended);
-            report.refusedWhileOut += mayHaveRun ? 1 : 0;
-            open.answer(Status.FULL, retryAfter);
+        OpenRequest request = requests.get(id);
+        if (request != null) {
+            boolean mayHaveRun = request.attempts.stream().anyMatch(a -> !a.ended);
+            report.refusalsWithOpenAttempts += mayHaveRun ? 1 : 0;
+            request.answer(Status.FULL, retryAfter);
         }
     }
 
     @Override
     public void fail(String id) {
-        OpenRequest open = requests.get(id);
-        if (open != null) {
-            open.answer(Status.ERROR, 0);
+        OpenRequest request = requests.get(id);
+        if (request != null) {
+            request.answer(Status.ERROR, 0);
         }
     }
 
     @Override
     public void cancel(String id, int attempt) {
-        report.notAllowed += settings.mayCancel ? 0 : 1;
-        OpenRequest open = requests.get(id);
-        if (open != null) {
-            int born = life;
-            kernel.runAfter(0, () -> {
-                if (lives(born)) {
-                    open.attempts.get(attempt).end(Status.CANCELLED);
+        report.forbiddenActions += settings.mayCancel ? 0 : 1;
+        OpenRequest request = requests.get(id);
+        if (request != null) {
+            int cancelledIn = incarnation;
+            clock.runAfter(0, () -> {
+                if (isIncarnation(cancelledIn)) {
+                    request.attempts.get(attempt).finish(Status.CANCELLED);
                 }
             });
         }
@@ -278,37 +295,39 @@
 
     @Override
     public void probe(String worker) {
-        EmulatedNode node = world.node(worker);
-        long sentAt = kernel.now();
-        int born = life;
-        report.probes++;
-        report.notAllowed += settings.mayProbe ? 0 : 1;
-        boolean answers = node.reachable(this) && node.model.isUp() && !node.model.isHung();
-        boolean refused = node.reachable(this) && !node.model.isUp();
-        long takes = answers || refused ? draws.way(zone, node.zone) + draws.way(node.zone, zone) : PROBE_TIMEOUT;
-        kernel.runAfter(takes, () -> {
-            if (lives(born)) {
+        EmulatedNode node = emulation.node(worker);
+        long sentAt = clock.now();
+        int sentIn = incarnation;
+        report.probeCount++;
+        report.forbiddenActions += settings.mayProbe ? 0 : 1;
+        boolean answers = node.isReachableFrom(this) && node.model.isUp() && !node.model.isHung();
+        boolean refused = node.isReachableFrom(this) && !node.model.isUp();
+        long duration = answers || refused
+                ? random.oneWayMicros(zone, node.zone) + random.oneWayMicros(node.zone, zone)
+                : PROBE_TIMEOUT_MICROS;
+        clock.runAfter(duration, () -> {
+            if (isIncarnation(sentIn)) {
                 module.probed(
-                        kernel.now(),
+                        clock.now(),
                         worker,
                         answers ? Status.OK : refused ? Status.CONNECT_FAILED : Status.TIMEOUT,
-                        kernel.now() - sentAt,
-                        answers ? node.reported : null);
+                        clock.now() - sentAt,
+                        answers ? node.reportedLoad : null);
             }
         });
     }
 
     @Override
     public void sendToPeers(byte[] message) {
-        report.notAllowed += settings.mayMessagePeers ? 0 : 1;
-        report.messages += world.schedulers.size() - 1;
-        report.messageBytes += (long) message.length * (world.schedulers.size() - 1);
+        report.forbiddenActions += settings.mayMessagePeers ? 0 : 1;
+        report.messageCount += emulation.schedulers.size() - 1;
+        report.messageBytes += (long) message.length * (emulation.schedulers.size() - 1);
         report.longestMessage = Math.max(report.longestMessage, message.length);
-        for (EmulatedScheduler other : world.schedulers) {
-            if (other != this && draws.random.nextDouble() >= scenario.loss()) {
-                kernel.runAfter(draws.between(1.1, 9.8), () -> {
+        for (EmulatedScheduler other : emulation.schedulers) {
+            if (other != this && random.other.nextDouble() >= scenario.messageLoss()) {
+                clock.runAfter(random.delayMicros(1.1, 9.8), () -> {
                     if (other.module != null) {
-                        other.module.peerMessage(kernel.now(), number, message);
+                        other.module.peerMessage(clock.now(), number, message);
                     }
                 });
             }
@@ -317,10 +336,10 @@
 
     @Override
     public void setTimer(long delay, String token) {
-        int born = life;
-        kernel.runAfter(Math.max(1, delay), () -> {
-            if (lives(born) && module != null && kernel.now() < world.end()) {
-                module.timerFired(kernel.now(), token);
+        int setIn = incarnation;
+        clock.runAfter(Math.max(1, delay), () -> {
+            if (isIncarnation(setIn) && module != null && clock.now() < emulation.endTime()) {
+                module.timerFired(clock.now(), token);
             }
         });
     }
@@ -328,19 +347,19 @@
     @Override
     public void watchList() {
         // A service that is asked may be behind: then it says so, and is to be asked again.
-        int born = life;
-        boolean behind = draws.random.nextDouble() < 0.2;
-        kernel.runAfter(draws.between(5, 60), () -> {
-            if (lives(born) && behind) {
-                list(ListKind.FAILED, List.of());
-            } else if (lives(born)) {
-                whole();
+        int askedIn = incarnation;
+        boolean isStale = random.other.nextDouble() < 0.2;
+        clock.runAfter(random.delayMicros(5, 60), () -> {
+            if (isIncarnation(askedIn) && isStale) {
+                updateList(ListKind.FAILED, List.of());
+            } else if (isIncarnation(askedIn)) {
+                sendWholeList();
             }
         });
     }
 
     @Override
     public void log(String line) {
-        report.log(kernel.now() - World.START, number, line);
+        report.log(clock.now() - Emulation.START, number, line);
     }
 }
--- a/src/main/java/barrowshore/emulate/Emulator.java
+++ b/src/main/java/barrowshore/emulate/Emulator.java
@@ -9,17 +9,17 @@
 /** The way in: one scenario, one seed, one report. The same arguments always give the same report. */
 public final class Emulator {
     /** Pure figures, the same for all: worked out once for each thread that plays. */
-    private static final ThreadLocal<IndexTableCache> TABLES = ThreadLocal.withInitial(IndexTableCache::new);
+    private static final ThreadLocal<IndexTableCache> INDEX_TABLES = ThreadLocal.withInitial(IndexTableCache::new);
 
     private Emulator() {}
 
     /** Plays a scenario at the first site with the operators' settings. */
     public static Report play(Scenario scenario, OperatorSettings operator, long seed) {
-        return new World(scenario, Deployment.HOME, operator, seed, Emulator::module).play();
+        return new Emulation(scenario, Deployment.HOME, operator, seed, Emulator::productionModule).play();
     }
 
     /** The module that is in service. */
-    static DispatchApi module(Settings settings, DispatchApi.Actions actions, World.Truth truth) {
-        return new Dispatcher(settings, actions, TABLES.get());
+    static DispatchApi productionModule(Settings settings, DispatchApi.Actions actions, Emulation.TrueState trueState) {
+        return new Dispatcher(settings, actions, INDEX_TABLES.get());
     }
 }
--- /dev/null
+++ b/src/main/java/barrowshore/emulate/FaultInjector.java
@@ -0,0 +1,160 @@
+package barrowshore.emulate;
+
+import barrowshore.module.DispatchApi.Health;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** What a scenario has happen: to machines, schedulers and the connections between them, and to how many clients come. */
+final class FaultInjector {
+    private final Emulation emulation;
+    private final VirtualClock clock;
+    private final RandomSources random;
+    private int replacementCount;
+
+    FaultInjector(Emulation emulation) {
+        this.emulation = emulation;
+        this.clock = emulation.clock;
+        this.random = emulation.random;
+    }
+
+    /** Has it happen when it is due. */
+    void schedule(Scenario.ScenarioEvent event) {
+        clock.runAt(Emulation.START + event.at(), () -> {
+            switch (event.type()) {
+                case BURST -> emulation.clients.startBurst(event.factor(), event.duration());
+                case RESTART -> {
+                    EmulatedScheduler scheduler = emulation.schedulers.get(event.scheduler());
+                    scheduler.crash();
+                    clock.runAfter(event.duration(), scheduler::start);
+                }
+                case CUT -> {
+                    EmulatedScheduler scheduler = emulation.schedulers.get(event.scheduler());
+                    scheduler.cutFrom.add(event.zone());
+                    clock.runAfter(event.duration(), () -> {
+                        scheduler.cutFrom.remove(event.zone());
+                        scheduler.deliverHeld(event.zone());
+                    });
+                }
+                case TROUBLES -> {
+                    for (int k = 0; k < (int) event.factor(); k++) {
+                        injectRandomFault(event);
+                    }
+                }
+                default -> applyToNodes(event);
+            }
+        });
+    }
+
+    /** What befalls a part of a zone's machines, of which some come back. */
+    private void applyToNodes(Scenario.ScenarioEvent event) {
+        List<EmulatedNode> candidates = emulation.nodes.stream()
+                .filter(node -> node.zone == event.zone() && !node.replaced)
+                .toList();
+        int count = (int) Math.round(event.nodeShare() * candidates.size());
+        int returning = (int) Math.round(event.returnShare() * count);
+        if (event.type() == Scenario.EventType.VANISH
+                || event.type() == Scenario.EventType.CRASH
+                || event.type() == Scenario.EventType.RENEW) {
+            emulation.report.recordOutage(
+                    event.zone(), clock.now() - Emulation.START, event.duration(), event.nodeShare());
+        }
+        for (int k = 0; k < count; k++) {
+            EmulatedNode node = candidates.get(k);
+            boolean returns = k < returning;
+            long spread = event.spread();
+            clock.runAfter((long) (random.faults.nextDouble() * spread), () -> begin(event, node));
+            if (returns) {
+                clock.runAfter(event.duration() + (long) (random.faults.nextDouble() * spread), () -> end(event, node));
+            }
+        }
+    }
+
+    private void begin(Scenario.ScenarioEvent event, EmulatedNode node) {
+        switch (event.type()) {
+            case VANISH -> node.disconnect();
+            case CRASH, RENEW -> node.crash(random.delayMicros(550, 5000));
+            case DRAIN -> node.drain();
+            case UNLIST -> node.publish(Health.GONE, random.delayMicros(260, 1800));
+            case HANG -> node.model.setHung(true);
+            case SLOW -> node.model.setSlowdown(event.factor());
+            default -> throw new IllegalStateException("nothing begins with " + event.type());
+        }
+    }
+
+    private void end(Scenario.ScenarioEvent event, EmulatedNode node) {
+        switch (event.type()) {
+            case VANISH -> node.reconnect();
+            case CRASH -> node.restart();
+            case RENEW -> {
+                node.replaced = true;
+                EmulatedNode replacement =
+                        emulation.addNode(node.id + "-r" + ++replacementCount, node.zone, node.kind, node.model.spec());
+                replacement.model.restart();
+                replacement.startedAt = clock.now();
+                replacement.publish(Health.READY, random.delayMicros(260, 1800));
+            }
+            case DRAIN -> node.restart();
+            case UNLIST -> node.publish(Health.READY, random.delayMicros(260, 1800));
+            case HANG -> node.model.setHung(false);
+            case SLOW -> node.model.setSlowdown(1);
+            default -> throw new IllegalStateException("nothing ends with " + event.type());
+        }
+    }
+
+    /** One trouble of a single node or a few, as seen in service (8.2 to 8.5). */
+    private void injectRandomFault(Scenario.ScenarioEvent event) {
+        clock.runAfter((long) (random.faults.nextDouble() * event.duration() / 2), () -> {
+            int count = emulation.nodes.size();
+            int kind = random.faults.nextInt(4);
+            double share =
+                    switch (kind) {
+                        case 0 -> random.faultUniform(0.057, 0.23);
+                        case 1 -> random.faultUniform(0.056, 0.16);
+                        case 2 -> random.faultUniform(0.084, 0.19);
+                        default -> random.faultUniform(0.11, 0.44);
+                    };
+            long duration = (long) (switch (kind) {
+                        case 0 -> random.faultUniform(10, 28);
+                        case 1 -> random.faultUniform(8.3, 24);
+                        case 2 -> random.faultUniform(5.4, 27);
+                        default -> random.faultUniform(18, 39);
+                    }
+                    * Emulation.SECOND);
+            Set<EmulatedNode> chosen = new HashSet<>();
+            List<EmulatedNode> affected = new ArrayList<>();
+            while (chosen.size() < Math.max(1, (int) (share * count))) {
+                EmulatedNode node = emulation.nodes.get(random.faults.nextInt(count));
+                if (chosen.add(node)) {
+                    affected.add(node);
+                }
+            }
+            double severity = kind == 0
+                    ? random.faultUniform(2, 9.9)
+                    : kind == 2 ? random.faultUniform(0.42, 0.94) : random.faultUniform(0.31, 0.7);
+            for (EmulatedNode node : affected) {
+                switch (kind) {
+                    case 0 -> node.model.setSlowdown(severity);
+                    case 1 -> {
+                        node.model.setHung(true);
+                        emulation.report.recordHung(
+                                node.zone,
+                                emulation.nodes.stream()
+                                        .filter(other -> other.zone == node.zone && other.model.isHung())
+                                        .count());
+                    }
+                    case 2 -> node.errorShare = severity;
+                    default -> node.model.setSlowdown(1 / (1 - severity));
+                }
+            }
+            clock.runAfter(
+                    duration,
+                    () -> affected.forEach(node -> {
+                        node.model.setSlowdown(1);
+                        node.model.setHung(false);
+                        node.errorShare = 0;
+                    }));
+        });
+    }
+}
--- a/src/main/java/barrowshore/emulate/OpenRequest.java
+++ b/src/main/java/barrowshore/emulate/OpenRequest.java
@@ -8,7 +8,7 @@
 /** A request that a scheduler has open, from its arrival to its one final answer. */
 final class OpenRequest {
     private final EmulatedScheduler scheduler;
-    private final World world;
+    private final Emulation emulation;
 
     final ClientJob job;
     final String id;
@@ -17,8 +17,8 @@
     int outstanding;
     boolean answered;
 
-    OpenRequest(World world, EmulatedScheduler scheduler, ClientJob job, String id, long deadline) {
-        this.world = world;
+    OpenRequest(Emulation emulation, EmulatedScheduler scheduler, ClientJob job, String id, long deadline) {
+        this.emulation = emulation;
         this.scheduler = scheduler;
         this.job = job;
         this.id = id;
@@ -28,59 +28,59 @@
     /** The client's time is up: what is out is given up, and the client is told so. */
     void expire() {
         if (!answered) {
-            for (Attempt a : List.copyOf(attempts)) {
-                a.end(Status.TIMEOUT);
+            for (Attempt attempt : List.copyOf(attempts)) {
+                attempt.finish(Status.TIMEOUT);
             }
             if (!answered) {
-                world.report.silent++;
+                emulation.report.missedDeadlines++;
                 answer(Status.TIMEOUT, 0);
-                scheduler.module().clientGone(world.kernel.now(), id);
+                scheduler.module().clientGone(emulation.clock.now(), id);
             }
         }
     }
 
     /** Its client has closed the connection: nobody waits for an answer, and what is out is called back. */
-    void clientLeaves() {
+    void disconnectClient() {
         if (!answered) {
             answered = true;
-            scheduler.module().clientGone(world.kernel.now(), id);
-            forget();
+            scheduler.module().clientGone(emulation.clock.now(), id);
+            releaseIfFinished();
         }
     }
 
     /** The one final answer; OK, FULL for a rejection, ERROR for a failure, TIMEOUT where it was ours. */
-    void answer(Status how, long retryAfter) {
+    void answer(Status status, long retryAfter) {
         if (answered) {
-            world.report.answersTwice++;
+            emulation.report.duplicateAnswers++;
             return;
         }
         answered = true;
-        if (how == Status.OK) {
-            boolean inTime = job.inTime();
+        if (status == Status.OK) {
+            boolean inTime = job.isInTime();
             if (!job.served) {
                 job.served = true;
-                world.report.served(
-                        job.since - World.START,
+                emulation.report.recordServed(
+                        job.createdAt - Emulation.START,
                         job.zone,
-                        job.type,
+                        job.classIndex,
                         job.worth(),
                         inTime,
-                        world.kernel.now() - job.since);
+                        emulation.clock.now() - job.createdAt);
             }
-        } else if (how == Status.FULL) {
-            world.report.refused(job.since - World.START);
-            world.clients.retry(job, world.draws.random.nextDouble() < 0.9 ? retryAfter : 0);
+        } else if (status == Status.FULL) {
+            emulation.report.recordRefusal(job.createdAt - Emulation.START);
+            emulation.clients.retry(job, emulation.random.other.nextDouble() < 0.9 ? retryAfter : 0);
         } else {
-            world.report.failed(job.since - World.START);
-            if (job.jobClass.effect() == RepeatSafety.SAFE) {
-                world.clients.retry(job, 0);
+            emulation.report.recordFailure(job.createdAt - Emulation.START);
+            if (job.jobClass.repeatSafety() == RepeatSafety.SAFE) {
+                emulation.clients.retry(job, 0);
             }
         }
-        forget();
+        releaseIfFinished();
     }
 
     /** Once it is answered and nothing is out, its scheduler keeps it no longer. */
-    void forget() {
+    void releaseIfFinished() {
         if (answered && outstanding == 0) {
             scheduler.forget(this);
         }
--- a/src/main/java/barrowshore/emulate/Report.java
+++ b/src/main/java/barrowshore/emulate/Report.java
@@ -11,151 +11,151 @@
 
 /** What came of an emulated day, counted as it goes. It owns its counters alone, and judges nothing. */
 public final class Report {
-    private static final long S = 1_000_000;
+    private static final long SECOND = 1_000_000;
     /** From a zone's going dark until new work for it counts as a fault. */
-    private static final long FOUND_OUT = 2 * S;
+    private static final long DETECTION_TIME = 2 * SECOND;
     /** Answer times are kept to the hundredth, up to a minute. */
-    private static final long MOST_MICROS = 60 * S;
+    private static final long MAX_ANSWER_MICROS = 60 * SECOND;
 
-    private record Dark(int zone, long from, long to, double part) {}
+    private record ZoneOutage(int zone, long from, long to, double part) {}
 
     private final Scenario scenario;
     private final long seed;
-    private final Deployment.Prices prices;
-    private final List<String> classes;
+    private final Deployment.Charges charges;
+    private final List<String> classNames;
     private final int seconds;
-    private final double[] askedAt;
-    private final double[] servedAt;
-    private final double[][] asked;
-    private final double[][] served;
-    private final double[] askedClass;
-    private final double[] servedClass;
-    private final List<Histogram> times = new ArrayList<>();
-    private final double[] mostSpilled;
+    private final double[] offeredWorth;
+    private final double[] servedWorth;
+    private final double[][] offeredWorthByZone;
+    private final double[][] servedWorthByZone;
+    private final double[] offeredWorthByClass;
+    private final double[] servedWorthByClass;
+    private final List<Histogram> answerTimes = new ArrayList<>();
+    private final double[] mostSpilledSlots;
     private final double[] mostSpillShare;
-    private final List<Dark> darks = new ArrayList<>();
-    private final List<String> moves = new ArrayList<>();
-    private final List<String> logs = new ArrayList<>();
-    private long chosenInDark;
-    private long trials;
-    private long mostHung;
-    private long chosenWhileDark;
-    private long refused;
-    private long failed;
-    private long sends;
-    private long crossings;
-    private double wasted;
-    private double work;
-    private long flows;
-    private double coldUse;
-    private int fallen;
-    private int movesCounted;
-    int twice;
-    int silent;
-    int answersTwice;
-    int sentAfterEnd;
-    int refusedWhileOut;
-    int notAllowed;
-    long probes;
-    long messages;
+    private final List<ZoneOutage> outages = new ArrayList<>();
+    private final List<String> hallStateChanges = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
+    private long sendsToDark;
+    private long trialsOfDark;
+    private long mostHungInZone;
+    private long sendsDuringOutages;
+    private long refusals;
+    private long failures;
+    private long sendCount;
+    private long crossZoneSends;
+    private double wastedWork;
+    private double offeredWork;
+    private long jobCount;
+    private double coldBudgetUsed;
+    private int overloadedNodes;
+    private int hallStateChangeCount;
+    int duplicateRuns;
+    int missedDeadlines;
+    int duplicateAnswers;
+    int sendsAfterAnswer;
+    int refusalsWithOpenAttempts;
+    int forbiddenActions;
+    long probeCount;
+    long messageCount;
     long messageBytes;
     int longestMessage;
-    long events;
-    final Evenness even = new Evenness();
+    long eventCount;
+    final LoadBalanceStats loadBalance = new LoadBalanceStats();
 
     Report(Scenario scenario, Deployment deployment, long seed) {
         this.scenario = scenario;
-        this.prices = deployment.prices();
+        this.charges = deployment.charges();
         this.seed = seed;
-        this.classes =
-                deployment.classes().stream().map(Deployment.ClassOf::name).toList();
-        seconds = (int) (scenario.length() / S) + 2;
-        askedAt = new double[seconds];
-        servedAt = new double[seconds];
+        this.classNames =
+                deployment.classes().stream().map(Deployment.ClassSpec::name).toList();
+        seconds = (int) (scenario.lengthMicros() / SECOND) + 2;
+        offeredWorth = new double[seconds];
+        servedWorth = new double[seconds];
         int zones = scenario.zones().size();
-        asked = new double[zones][seconds];
-        served = new double[zones][seconds];
-        askedClass = new double[classes.size()];
-        servedClass = new double[classes.size()];
-        classes.forEach(c -> times.add(new Histogram(MOST_MICROS, 2)));
-        mostSpilled = new double[zones];
+        offeredWorthByZone = new double[zones][seconds];
+        servedWorthByZone = new double[zones][seconds];
+        offeredWorthByClass = new double[classNames.size()];
+        servedWorthByClass = new double[classNames.size()];
+        classNames.forEach(c -> answerTimes.add(new Histogram(MAX_ANSWER_MICROS, 2)));
+        mostSpilledSlots = new double[zones];
         mostSpillShare = new double[zones];
     }
 
-    void asked(long at, int zone, int type, double worth, double size) {
-        flows++;
-        work += size;
-        int second = (int) (at / S);
-        askedAt[second] += worth;
-        asked[zone][second] += worth;
-        askedClass[type] += worth;
+    void recordOffered(long at, int zone, int type, double worth, double size) {
+        jobCount++;
+        offeredWork += size;
+        int second = (int) (at / SECOND);
+        offeredWorth[second] += worth;
+        offeredWorthByZone[zone][second] += worth;
+        offeredWorthByClass[type] += worth;
     }
 
-    void served(long since, int zone, int type, double worth, boolean inTime, long took) {
-        times.get(type).recordValue(Math.min(took, MOST_MICROS));
+    void recordServed(long since, int zone, int type, double worth, boolean inTime, long took) {
+        answerTimes.get(type).recordValue(Math.min(took, MAX_ANSWER_MICROS));
         if (inTime) {
-            int second = (int) (since / S);
-            servedAt[second] += worth;
-            served[zone][second] += worth;
-            servedClass[type] += worth;
+            int second = (int) (since / SECOND);
+            servedWorth[second] += worth;
+            servedWorthByZone[zone][second] += worth;
+            servedWorthByClass[type] += worth;
         }
     }
 
-    void refused(long since) {
-        refused++;
+    void recordRefusal(long since) {
+        refusals++;
     }
 
-    void failed(long since) {
-        failed++;
+    void recordFailure(long since) {
+        failures++;
     }
 
-    void wasted(double work) {
-        wasted += work;
+    void recordWastedWork(double work) {
+        wastedWork += work;
     }
 
-    void sent(long at, int zone, int from) {
-        sends++;
-        crossings += zone == from ? 0 : 1;
+    void recordSend(long at, int zone, int from) {
+        sendCount++;
+        crossZoneSends += zone == from ? 0 : 1;
     }
 
     /** The module chose a node of this zone; trial: it holds the zone for lost, or is trying it. */
-    void chosen(long at, int zone, boolean trial) {
-        for (Dark d : darks) {
-            if (d.part >= 1 && at >= d.from + FOUND_OUT && at < d.to) {
-                chosenWhileDark++;
-                chosenInDark += d.zone == zone && !trial ? 1 : 0;
-                trials += d.zone == zone && trial ? 1 : 0;
+    void recordChoice(long at, int zone, boolean trial) {
+        for (ZoneOutage outage : outages) {
+            if (outage.part >= 1 && at >= outage.from + DETECTION_TIME && at < outage.to) {
+                sendsDuringOutages++;
+                sendsToDark += outage.zone == zone && !trial ? 1 : 0;
+                trialsOfDark += outage.zone == zone && trial ? 1 : 0;
             }
         }
     }
 
     /** So many nodes of a zone hang at once, by troubles drawn for each. */
-    void hung(int zone, long count) {
-        mostHung = Math.max(mostHung, count);
+    void recordHung(int zone, long count) {
+        mostHungInZone = Math.max(mostHungInZone, count);
     }
 
-    void dark(int zone, long from, long lasts, double part) {
-        darks.add(new Dark(zone, from, from + lasts, part));
+    void recordOutage(int zone, long from, long lasts, double part) {
+        outages.add(new ZoneOutage(zone, from, from + lasts, part));
     }
 
-    void spilled(int zone, double slots, double usable) {
-        mostSpilled[zone] = Math.max(mostSpilled[zone], slots);
+    void recordSpill(int zone, double slots, double usable) {
+        mostSpilledSlots[zone] = Math.max(mostSpilledSlots[zone], slots);
         if (usable > 0) {
             mostSpillShare[zone] = Math.max(mostSpillShare[zone], slots / usable);
         }
     }
 
-    void node(double use, boolean fell) {
-        coldUse = Math.max(coldUse, use);
-        fallen += fell ? 1 : 0;
+    void recordNode(double budgetUsed, boolean overloaded) {
+        coldBudgetUsed = Math.max(coldBudgetUsed, budgetUsed);
+        overloadedNodes += overloaded ? 1 : 0;
     }
 
-    void moved(long at, int scheduler, List<HallState> from, List<HallState> to, List<String> names) {
+    void recordHallStates(long at, int scheduler, List<HallState> from, List<HallState> to, List<String> names) {
         for (int z = 0; z < to.size(); z++) {
             HallState was = z < from.size() ? from.get(z) : HallState.SERVING;
             if (was != to.get(z)) {
-                movesCounted++;
-                moves.add(String.format(
+                hallStateChangeCount++;
+                hallStateChanges.add(String.format(
                         Locale.ROOT,
                         "%.1f s  scheduler %d: %s %s",
                         at / 1e6,
@@ -167,7 +167,7 @@
     }
 
     void log(long at, int scheduler, String line) {
-        logs.add(String.format(Locale.ROOT, "%.2f s  scheduler %d: %s", at / 1e6, scheduler, line));
+        logLines.add(String.format(Locale.ROOT, "%.2f s  scheduler %d: %s", at / 1e6, scheduler, line));
     }
 
     private static double share(double part, double whole) {
@@ -175,18 +175,20 @@
     }
 
     /** Worth asked for in all. */
-    double asked() {
-        return Arrays.stream(askedAt).sum();
+    double offeredWorth() {
+        return Arrays.stream(offeredWorth).sum();
     }
 
     /** Worth served in time against worth asked for. */
-    double kept() {
-        return share(servedAt, askedAt, 0, seconds);
+    double servedWorthShare() {
+        return share(servedWorth, offeredWorth, 0, seconds);
     }
 
     /** The same less what the operators deduct: for requests that cross zones, and for work wasted. */
-    double priced() {
-        return kept() - prices.crossing() * share(crossings, flows) - prices.waste() * (work <= 0 ? 0 : wasted / work);
+    double score() {
+        return servedWorthShare()
+                - charges.perCrossing() * share(crossZoneSends, jobCount)
+                - charges.perWastedShare() * (offeredWork <= 0 ? 0 : wastedWork / offeredWork);
     }
 
     /** The share served of what was asked for from one second to another. */
@@ -200,17 +202,17 @@
     }
 
     /** The same in the worst ten seconds. */
-    double worst() {
+    double worstTenSeconds() {
         double least = 1;
         for (int from = 0; from + 10 < seconds; from++) {
-            least = Math.min(least, share(servedAt, askedAt, from, from + 10));
+            least = Math.min(least, share(servedWorth, offeredWorth, from, from + 10));
         }
         return least;
     }
 
     /** The same of the clients that belong to a zone, from one second to another. */
     double servedShare(int zone, int from, int to) {
-        return share(served[zone], asked[zone], from, to);
+        return share(servedWorthByZone[zone], offeredWorthByZone[zone], from, to);
     }
 
     double servedShare(int zone) {
@@ -218,52 +220,58 @@
     }
 
     /** Of what was chosen later than 2 s after a whole zone went dark: the share that went there, trials apart. */
-    double toDark() {
-        return chosenWhileDark == 0 ? 0 : (double) chosenInDark / chosenWhileDark;
+    double darkSendShare() {
+        return sendsDuringOutages == 0 ? 0 : (double) sendsToDark / sendsDuringOutages;
     }
 
     /** The share that were trials of it. */
-    double trials() {
-        return chosenWhileDark == 0 ? 0 : (double) trials / chosenWhileDark;
+    double darkTrialShare() {
+        return sendsDuringOutages == 0 ? 0 : (double) trialsOfDark / sendsDuringOutages;
     }
 
-    double coldUse() {
-        return coldUse;
+    double coldBudgetUsed() {
+        return coldBudgetUsed;
     }
 
-    int fallen() {
-        return fallen;
+    int overloadedNodes() {
+        return overloadedNodes;
     }
 
-    int moves() {
-        return movesCounted;
+    int hallStateChangeCount() {
+        return hallStateChangeCount;
     }
 
     double mostSpillShare(int zone) {
         return mostSpillShare[zone];
     }
 
-    List<String> moveLines() {
-        return moves;
+    List<String> hallStateChangeLines() {
+        return hallStateChanges;
     }
 
     /** Which rules were broken, and how often; empty if none was. */
-    String rulesBroken() {
+    String violations() {
         Map<String, Integer> all = new LinkedHashMap<>();
-        all.put("ran twice", twice);
-        all.put("no answer in time", silent);
-        all.put("answered twice", answersTwice);
-        all.put("sent after the end", sentAfterEnd);
-        all.put("refused while out", refusedWhileOut);
-        all.put("not allowed", notAllowed);
-        all.put("pushed over", fallen);
+        all.put("ran twice", duplicateRuns);
+        all.put("no answer in time", missedDeadlines);
+        all.put("answered twice", duplicateAnswers);
+        all.put("sent after the end", sendsAfterAnswer);
+        all.put("refused while out", refusalsWithOpenAttempts);
+        all.put("not allowed", forbiddenActions);
+        all.put("pushed over", overloadedNodes);
         all.values().removeIf(count -> count == 0);
         return all.isEmpty() ? "" : all.toString();
     }
 
     /** What must never be: 0 in every run. */
-    int broken() {
-        return twice + silent + answersTwice + sentAfterEnd + refusedWhileOut + notAllowed + fallen;
+    int violationCount() {
+        return duplicateRuns
+                + missedDeadlines
+                + duplicateAnswers
+                + sendsAfterAnswer
+                + refusalsWithOpenAttempts
+                + forbiddenActions
+                + overloadedNodes;
     }
 
     /** The whole report as JSON's maps and lists; the same run gives the same, in the same order. */
@@ -271,9 +279,9 @@
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("scenario", scenario.name());
         all.put("seed", seed);
-        all.put("kept", round(kept()));
-        all.put("keptLessDeductions", round(priced()));
-        all.put("worst10s", round(worst()));
+        all.put("kept", round(servedWorthShare()));
+        all.put("keptLessDeductions", round(score()));
+        all.put("worst10s", round(worstTenSeconds()));
         Map<String, Object> zones = new LinkedHashMap<>();
         for (int z = 0; z < scenario.zones().size(); z++) {
             Map<String, Object> one = new LinkedHashMap<>();
@@ -283,49 +291,49 @@
                 windows.add(round(servedShare(z, from, from + 5)));
             }
             one.put("dinersBy5s", windows.toArray());
-            one.put("mostSpilledSlots", round(mostSpilled[z]));
+            one.put("mostSpilledSlots", round(mostSpilledSlots[z]));
             one.put("mostSpilledShare", round(mostSpillShare[z]));
             zones.put(scenario.zones().get(z).name(), one);
         }
         all.put("halls", zones);
         Map<String, Object> types = new LinkedHashMap<>();
-        for (int c = 0; c < classes.size(); c++) {
+        for (int c = 0; c < classNames.size(); c++) {
             Map<String, Object> one = new LinkedHashMap<>();
-            one.put("kept", round(share(servedClass[c], askedClass[c])));
-            one.put("p50Ms", round(times.get(c).getValueAtPercentile(50) / 1e3));
-            one.put("p99Ms", round(times.get(c).getValueAtPercentile(99) / 1e3));
-            types.put(classes.get(c), one);
+            one.put("kept", round(share(servedWorthByClass[c], offeredWorthByClass[c])));
+            one.put("p50Ms", round(answerTimes.get(c).getValueAtPercentile(50) / 1e3));
+            one.put("p99Ms", round(answerTimes.get(c).getValueAtPercentile(99) / 1e3));
+            types.put(classNames.get(c), one);
         }
         all.put("classes", types);
-        all.put("toDark", round(toDark()));
-        all.put("trials", round(trials()));
-        all.put("coldBudgetUsed", round(coldUse));
-        all.put("fallenOver", fallen);
-        all.put("ranTwice", twice);
-        all.put("withoutAnswerInTime", silent);
-        all.put("answeredTwice", answersTwice);
-        all.put("sentAfterTheEnd", sentAfterEnd);
-        all.put("refusedWhileOut", refusedWhileOut);
-        all.put("notAllowed", notAllowed);
-        all.put("refused", refused);
-        all.put("failed", failed);
-        all.put("sends", sends);
-        all.put("crossings", crossings);
-        all.put("wastedSeconds", round(wasted / 1e6));
+        all.put("toDark", round(darkSendShare()));
+        all.put("trials", round(darkTrialShare()));
+        all.put("coldBudgetUsed", round(coldBudgetUsed));
+        all.put("fallenOver", overloadedNodes);
+        all.put("ranTwice", duplicateRuns);
+        all.put("withoutAnswerInTime", missedDeadlines);
+        all.put("answeredTwice", duplicateAnswers);
+        all.put("sentAfterTheEnd", sendsAfterAnswer);
+        all.put("refusedWhileOut", refusalsWithOpenAttempts);
+        all.put("notAllowed", forbiddenActions);
+        all.put("refused", refusals);
+        all.put("failed", failures);
+        all.put("sends", sendCount);
+        all.put("crossings", crossZoneSends);
+        all.put("wastedSeconds", round(wastedWork / 1e6));
         Map<String, Object> evenness = new LinkedHashMap<>();
-        evenness.put("variation100ms", round(even.variationShort()));
-        evenness.put("variation1s", round(even.variationLong()));
-        evenness.put("mostAgainstMean1s", round(even.mostLong()));
-        evenness.put("idleWhileOthersQueue", round(even.idleWhileOthersQueue()));
-        evenness.put("crowdAgainstChance", round(even.crowd()));
+        evenness.put("variation100ms", round(loadBalance.variationShort()));
+        evenness.put("variation1s", round(loadBalance.variationLong()));
+        evenness.put("mostAgainstMean1s", round(loadBalance.peakLong()));
+        evenness.put("idleWhileOthersQueue", round(loadBalance.idleWhileOthersQueue()));
+        evenness.put("crowdAgainstChance", round(loadBalance.crowding()));
         all.put("even", evenness);
-        all.put("probes", probes);
-        all.put("messages", messages);
+        all.put("probes", probeCount);
+        all.put("messages", messageCount);
         all.put("messageBytes", messageBytes);
         all.put("longestMessage", longestMessage);
-        all.put("mostHungInAHall", mostHung);
-        all.put("events", events);
-        all.put("moves", moves);
+        all.put("mostHungInAHall", mostHungInZone);
+        all.put("events", eventCount);
+        all.put("moves", hallStateChanges);
         return all;
     }
 
@@ -342,15 +350,15 @@
                         + " (%d across halls), probes %d, messages %d%n",
                 scenario.name(),
                 seed,
-                kept(),
-                priced(),
-                worst(),
-                refused,
-                failed,
-                sends,
-                crossings,
-                probes,
-                messages));
+                servedWorthShare(),
+                score(),
+                worstTenSeconds(),
+                refusals,
+                failures,
+                sendCount,
+                crossZoneSends,
+                probeCount,
+                messageCount));
         out.append(String.format("%-16s %8s %14s %14s%n", "hall", "diners", "most spilled", "of its slots"));
         for (int z = 0; z < scenario.zones().size(); z++) {
             out.append(String.format(
@@ -358,43 +366,43 @@
                     "%-16s %8.3f %14.1f %14.2f%n",
                     scenario.zones().get(z).name(),
                     servedShare(z),
-                    mostSpilled[z],
+                    mostSpilledSlots[z],
                     mostSpillShare[z]));
         }
         out.append(String.format(
                 Locale.ROOT,
                 "even load: variation %.2f in 0.1 s, %.2f in 1 s, most %.2f times the mean in 1 s; free while"
                         + " others queue %.3f slots a node; crowding %.2f of chance's%n",
-                even.variationShort(),
-                even.variationLong(),
-                even.mostLong(),
-                even.idleWhileOthersQueue(),
-                even.crowd()));
+                loadBalance.variationShort(),
+                loadBalance.variationLong(),
+                loadBalance.peakLong(),
+                loadBalance.idleWhileOthersQueue(),
+                loadBalance.crowding()));
         out.append("by 5 s, worth served:");
         for (int from = 0; from < seconds; from += 5) {
-            out.append(String.format(Locale.ROOT, " %.3f", share(servedAt, askedAt, from, from + 5)));
+            out.append(String.format(Locale.ROOT, " %.3f", share(servedWorth, offeredWorth, from, from + 5)));
         }
         out.append(String.format("%n%-16s %8s %14s %14s%n", "class", "kept", "p50 ms", "p99 ms"));
-        for (int c = 0; c < classes.size(); c++) {
+        for (int c = 0; c < classNames.size(); c++) {
             out.append(String.format(
                     Locale.ROOT,
                     "%-16s %8.3f %14.0f %14.0f%n",
-                    classes.get(c),
-                    share(servedClass[c], askedClass[c]),
-                    times.get(c).getValueAtPercentile(50) / 1e3,
-                    times.get(c).getValueAtPercentile(99) / 1e3));
+                    classNames.get(c),
+                    share(servedWorthByClass[c], offeredWorthByClass[c]),
+                    answerTimes.get(c).getValueAtPercentile(50) / 1e3,
+                    answerTimes.get(c).getValueAtPercentile(99) / 1e3));
         }
         out.append(String.format(
                 Locale.ROOT,
                 "rules: ran twice %d, no answer in time %d, fallen over %d, cold budget used"
                         + " %.2f; to a dark hall after 2 s %.4f; longest message %d bytes%n",
-                twice,
-                silent,
-                fallen,
-                coldUse,
-                toDark(),
+                duplicateRuns,
+                missedDeadlines,
+                overloadedNodes,
+                coldBudgetUsed,
+                darkSendShare(),
                 longestMessage));
-        moves.forEach(line -> out.append("  ").append(line).append(System.lineSeparator()));
+        hallStateChanges.forEach(line -> out.append("  ").append(line).append(System.lineSeparator()));
         return out.toString();
     }
 }
--- a/src/main/java/barrowshore/emulate/Scenario.java
+++ b/src/main/java/barrowshore/emulate/Scenario.java
@@ -13,20 +13,20 @@
  */
 public record Scenario(
         String name,
-        long length,
+        long lengthMicros,
         double load,
         int cores,
         int retries,
-        double loss,
-        double leaving,
+        double messageLoss,
+        double leavingShare,
         boolean probes,
         List<ZoneSpec> zones,
-        List<Happening> happenings) {
+        List<ScenarioEvent> events) {
     /** clients: the share of all clients that belong to the zone. */
     public record ZoneSpec(String name, int nodes, int schedulers, double clients) {}
 
     /** What a thing is that happens. */
-    public enum What {
+    public enum EventType {
         VANISH,
         CRASH,
         RENEW,
@@ -44,14 +44,14 @@
      * Something that happens. spread: over how long its parts begin and end; part: of the zone's nodes; back: the share
      * of those that ever come back; factor, scheduler and count where they mean something.
      */
-    public record Happening(
-            What what,
+    public record ScenarioEvent(
+            EventType type,
             long at,
-            long lasts,
+            long duration,
             long spread,
             int zone,
-            double part,
-            double back,
+            double nodeShare,
+            double returnShare,
             double factor,
             int scheduler) {}
 
@@ -84,7 +84,7 @@
             }
         }
         int schedulers = zones.stream().mapToInt(ZoneSpec::schedulers).sum();
-        List<Happening> happenings = new ArrayList<>();
+        List<ScenarioEvent> events = new ArrayList<>();
         for (Element e : root.children()) {
             if (e.name().equals("hall")) {
                 continue;
@@ -100,20 +100,20 @@
             if (scheduler >= schedulers) {
                 throw e.error(file, "there is no scheduler " + scheduler + "; they are numbered from 0");
             }
-            What what =
+            EventType type =
                     switch (e.name()) {
-                        case "dark" -> What.valueOf(e.get("how").toUpperCase(java.util.Locale.ROOT));
-                        default -> What.valueOf(e.name().toUpperCase(java.util.Locale.ROOT));
+                        case "dark" -> EventType.valueOf(e.get("how").toUpperCase(java.util.Locale.ROOT));
+                        default -> EventType.valueOf(e.name().toUpperCase(java.util.Locale.ROOT));
                     };
-            happenings.add(new Happening(
-                    what,
+            events.add(new ScenarioEvent(
+                    type,
                     e.micros("at"),
                     e.micros("for"),
                     e.micros("spread"),
                     zone,
                     number(e, "part", 1),
                     number(e, "back", 1),
-                    number(e, what == What.TROUBLES ? "count" : "factor", 1),
+                    number(e, type == EventType.TROUBLES ? "count" : "factor", 1),
                     scheduler));
         }
         return new Scenario(
@@ -126,7 +126,7 @@
                 root.number("leaving"),
                 "true".equals(root.get("probes")) || "1".equals(root.get("probes")),
                 zones,
-                happenings);
+                events);
     }
 
     private static double number(Element e, String attribute, double otherwise) {
--- a/src/main/java/barrowshore/emulate/ScenarioRunner.java
+++ b/src/main/java/barrowshore/emulate/ScenarioRunner.java
@@ -47,26 +47,26 @@
         } else {
             out.printf("%s, %d seeds from %d; mean, and least or most of a seed%n", scenario.name(), seeds, seed);
             out.printf("%-34s %10s %10s%s%n", "", "mean", "extreme", compare ? "   off: mean    extreme" : "");
-            row(out, "worth served (least)", Report::kept, false, on, off);
-            row(out, "less deductions (least)", Report::priced, false, on, off);
-            row(out, "worst 10 s (least)", Report::worst, false, on, off);
+            printRow(out, "worth served (least)", Report::servedWorthShare, false, on, off);
+            printRow(out, "less deductions (least)", Report::score, false, on, off);
+            printRow(out, "worst 10 s (least)", Report::worstTenSeconds, false, on, off);
             for (int z = 0; z < scenario.zones().size(); z++) {
                 int zone = z;
                 String name = scenario.zones().get(z).name();
-                row(out, "diners of " + name + " (least)", r -> r.servedShare(zone), false, on, off);
-                row(out, "spilled into " + name + " (most)", r -> r.mostSpillShare(zone), true, on, off);
+                printRow(out, "diners of " + name + " (least)", r -> r.servedShare(zone), false, on, off);
+                printRow(out, "spilled into " + name + " (most)", r -> r.mostSpillShare(zone), true, on, off);
             }
-            row(out, "to a dark hall after 2 s (most)", Report::toDark, true, on, off);
-            row(out, "trials of a dark hall (most)", Report::trials, true, on, off);
-            row(out, "cold budget used (most)", Report::coldUse, true, on, off);
-            row(out, "nodes fallen over (most)", Report::fallen, true, on, off);
-            row(out, "unsafe jobs run twice (most)", r -> r.twice, true, on, off);
-            row(out, "no answer in time (most)", r -> r.silent, true, on, off);
-            row(out, "variation of load, 1 s (most)", r -> r.even.variationLong(), true, on, off);
-            row(out, "most load against mean, 1 s (most)", r -> r.even.mostLong(), true, on, off);
-            row(out, "free while others queue (most)", r -> r.even.idleWhileOthersQueue(), true, on, off);
-            row(out, "crowding against chance (most)", r -> r.even.crowd(), true, on, off);
-            row(out, "changes of hall states (most)", Report::moves, true, on, off);
+            printRow(out, "to a dark hall after 2 s (most)", Report::darkSendShare, true, on, off);
+            printRow(out, "trials of a dark hall (most)", Report::darkTrialShare, true, on, off);
+            printRow(out, "cold budget used (most)", Report::coldBudgetUsed, true, on, off);
+            printRow(out, "nodes fallen over (most)", Report::overloadedNodes, true, on, off);
+            printRow(out, "unsafe jobs run twice (most)", r -> r.duplicateRuns, true, on, off);
+            printRow(out, "no answer in time (most)", r -> r.missedDeadlines, true, on, off);
+            printRow(out, "variation of load, 1 s (most)", r -> r.loadBalance.variationLong(), true, on, off);
+            printRow(out, "most load against mean, 1 s (most)", r -> r.loadBalance.peakLong(), true, on, off);
+            printRow(out, "free while others queue (most)", r -> r.loadBalance.idleWhileOthersQueue(), true, on, off);
+            printRow(out, "crowding against chance (most)", r -> r.loadBalance.crowding(), true, on, off);
+            printRow(out, "changes of hall states (most)", Report::hallStateChangeCount, true, on, off);
         }
         if (json != null) {
             List<Object> all = new ArrayList<>();
@@ -86,16 +86,16 @@
         return Arrays.asList(reports);
     }
 
-    private static void row(
+    private static void printRow(
             PrintStream out,
             String name,
             ToDoubleFunction<Report> figure,
-            boolean most,
+            boolean highest,
             List<Report> on,
             List<Report> off) {
-        out.printf(Locale.ROOT, "%-34s %10.4f %10.4f", name, mean(on, figure), extreme(on, figure, most));
+        out.printf(Locale.ROOT, "%-34s %10.4f %10.4f", name, mean(on, figure), extreme(on, figure, highest));
         if (!off.isEmpty()) {
-            out.printf(Locale.ROOT, " %10.4f %10.4f", mean(off, figure), extreme(off, figure, most));
+            out.printf(Locale.ROOT, " %10.4f %10.4f", mean(off, figure), extreme(off, figure, highest));
         }
         out.println();
     }
@@ -104,8 +104,8 @@
         return reports.stream().mapToDouble(figure).average().orElse(0);
     }
 
-    private static double extreme(List<Report> reports, ToDoubleFunction<Report> figure, boolean most) {
+    private static double extreme(List<Report> reports, ToDoubleFunction<Report> figure, boolean highest) {
         var values = reports.stream().mapToDouble(figure);
-        return (most ? values.max() : values.min()).orElse(0);
+        return (highest ? values.max() : values.min()).orElse(0);
     }
 }
--- a/src/main/java/barrowshore/emulate/VirtualClock.java
+++ b/src/main/java/barrowshore/emulate/VirtualClock.java
@@ -13,7 +13,7 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long now;
-    private long order;
+    private long nextOrder;
 
     /** Starts at a time, so that 0 can go on meaning long ago. */
     public VirtualClock(long start) {
@@ -26,13 +26,13 @@
     }
 
     @Override
-    public void runAt(long time, Runnable run) {
-        events.add(new Event(Math.max(now, time), order++, run));
+    public void runAt(long time, Runnable action) {
+        events.add(new Event(Math.max(now, time), nextOrder++, action));
     }
 
     /** Runs it so long from now. */
-    public void runAfter(long delay, Runnable run) {
-        runAt(now + delay, run);
+    public void runAfter(long delay, Runnable action) {
+        runAt(now + delay, action);
     }
 
     /** Runs what is due until then. */
@@ -47,6 +47,6 @@
 
     /** How many events there have been. */
     public long eventCount() {
-        return order;
+        return nextOrder;
     }
 }
--- a/src/main/java/barrowshore/model/Timeline.java
+++ b/src/main/java/barrowshore/model/Timeline.java
@@ -5,5 +5,5 @@
     long now();
 
     /** Runs it at that time or, if that has passed, soon; one that is not wanted any more has to know so itself. */
-    void runAt(long time, Runnable run);
+    void runAt(long time, Runnable action);
 }
--- a/src/main/java/barrowshore/model/WorkerModel.java
+++ b/src/main/java/barrowshore/model/WorkerModel.java
@@ -13,9 +13,9 @@
  */
 public final class WorkerModel {
     /** Chance: a cold node falls over above N + 3 sqrt(N) + 3 mean jobs in a window, N being what the limit allows. */
-    private static final double SLACK = 3;
+    private static final double RANDOM_ARRIVAL_ALLOWANCE = 3;
     /** The part of what pushed it over that must have come from senders who knew, for the rule to be broken. */
-    private static final double KNOWING = 2 / 3.0;
+    private static final double INFORMED_SHARE_OF_OVERLOAD = 2 / 3.0;
 
     /**
      * What a node is. speed: of a core, against the standard one; queue: slots of work that may wait; coldFrom: the share
@@ -57,46 +57,46 @@
         void lost();
     }
 
-    private static final class Running {
+    private static final class RunningJob {
         final Job job;
-        double left;
-        int plan;
+        double remainingWork;
+        int completionVersion;
 
-        Running(Job job) {
+        RunningJob(Job job) {
             this.job = job;
-            this.left = job.work();
+            this.remainingWork = job.work();
         }
     }
 
-    private record Arrival(long at, double size, boolean knowing) {}
+    private record Arrival(long at, double work, boolean senderKnew) {}
 
-    private final Timeline time;
+    private final Timeline timeline;
     private final Spec spec;
-    private final OverloadLimit falling;
-    private final long progressEvery;
+    private final OverloadLimit overloadLimit;
+    private final long progressIntervalMicros;
     private final Deque<Job> queue = new ArrayDeque<>();
-    private final List<Running> running = new ArrayList<>();
-    private final List<Runnable> unsaid = new ArrayList<>();
+    private final List<RunningJob> running = new ArrayList<>();
+    private final List<Runnable> heldCallbacks = new ArrayList<>();
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
-    private double arrived;
+    private double arrivedWork;
     private boolean up = true;
-    private boolean fallen, pushedOver;
+    private boolean failedFromOverload, overloadedByInformedSenders;
     private boolean draining;
     private boolean hung;
-    private double slowness = 1;
-    private long bornAt = Long.MIN_VALUE / 4;
-    private long settledAt;
+    private double slowdown = 1;
+    private long startedAt = Long.MIN_VALUE / 4;
+    private long progressUpdatedAt;
     private double waitingSlots;
-    private double coldUse;
+    private double coldBudgetUsed;
     private long served;
 
     /** A node that has been up for long. progressEvery: microseconds between notes of progress; 0: none. */
-    public WorkerModel(Timeline time, Spec spec, OverloadLimit falling, long progressEvery) {
-        this.time = time;
+    public WorkerModel(Timeline timeline, Spec spec, OverloadLimit overloadLimit, long progressIntervalMicros) {
+        this.timeline = timeline;
         this.spec = spec;
-        this.falling = falling;
-        this.progressEvery = progressEvery;
-        this.settledAt = time.now();
+        this.overloadLimit = overloadLimit;
+        this.progressIntervalMicros = progressIntervalMicros;
+        this.progressUpdatedAt = timeline.now();
     }
 
     public boolean isUp() {
@@ -105,12 +105,12 @@
 
     /** Whether it fell over while cold. */
     public boolean hasFailedFromOverload() {
-        return fallen;
+        return failedFromOverload;
     }
 
     /** Whether it fell over under what came from senders that knew of its start: two thirds of it, as the rule has it. */
     public boolean wasOverloadedByInformedSenders() {
-        return pushedOver;
+        return overloadedByInformedSenders;
     }
 
     public boolean isHung() {
@@ -127,7 +127,7 @@
 
     /** Slots of what waits and runs. */
     public double occupiedAndWaitingSlots() {
-        return waitingSlots + used();
+        return waitingSlots + occupiedSlots();
     }
 
     /** Slots of the work that waits. */
@@ -137,7 +137,7 @@
 
     /** What it can do now, in cores at speed 1. */
     public double capacity() {
-        return warmth(time.now()) * spec.cores() * spec.speed() / slowness;
+        return capacityShare(timeline.now()) * spec.cores() * spec.speed() / slowdown;
     }
 
     /** How many jobs wait. */
@@ -147,35 +147,39 @@
 
     /** How fast a slot runs that is filled now. */
     public double pace() {
-        return Math.min(1, warmth(time.now()) * spec.cores() / Math.max(1, Math.min(spec.cores(), used() + 1)))
+        return Math.min(
+                        1,
+                        capacityShare(timeline.now())
+                                * spec.cores()
+                                / Math.max(1, Math.min(spec.cores(), occupiedSlots() + 1)))
                 * spec.speed()
-                / slowness;
+                / slowdown;
     }
 
     public double freeSlots() {
-        return Math.max(0, spec.cores() - used());
+        return Math.max(0, spec.cores() - occupiedSlots());
     }
 
     /** The most that came while it was cold from senders who knew of it, against what would have pushed it over. */
     public double coldBudgetUsed() {
-        return coldUse;
+        return coldBudgetUsed;
     }
 
     public long served() {
         return served;
     }
 
-    private double used() {
+    private double occupiedSlots() {
         double sum = 0;
-        for (Running r : running) {
+        for (RunningJob r : running) {
             sum += r.job.slots();
         }
         return sum;
     }
 
     /** The share of its capacity that it has at a time. */
-    private double warmth(long at) {
-        double share = (at - bornAt) / (double) spec.coldTime();
+    private double capacityShare(long at) {
+        double share = (at - startedAt) / (double) spec.coldTime();
         return share >= 1 ? 1 : spec.coldFrom() + (1 - spec.coldFrom()) * Math.max(0, share);
     }
 
@@ -183,41 +187,41 @@
      * The part of its speed that each running slot gets: while cold there are fewer cores than slots, shared evenly, so a
      * lone job runs as fast as ever.
      */
-    private double pace(long at) {
-        return Math.min(1, warmth(at) * spec.cores() / Math.max(1, used()));
+    private double coreShare(long at) {
+        return Math.min(1, capacityShare(at) * spec.cores() / Math.max(1, occupiedSlots()));
     }
 
     /** From when on there is a whole core for each slot that runs now. */
-    private long whole() {
-        double needed = Math.max(1, used()) / spec.cores();
+    private long fullSpeedTime() {
+        double needed = Math.max(1, occupiedSlots()) / spec.cores();
         double share = (needed - spec.coldFrom()) / Math.max(1e-9, 1 - spec.coldFrom());
-        return bornAt + (long) Math.ceil(spec.coldTime() * Math.max(0, Math.min(1, share)));
+        return startedAt + (long) Math.ceil(spec.coldTime() * Math.max(0, Math.min(1, share)));
     }
 
     /** Work that a slot does from one time to another, as many as now running. */
-    private double work(long from, long to) {
+    private double workPerSlot(long from, long to) {
         if (hung || to <= from) {
             return 0;
         }
-        long bend = Math.max(from, Math.min(to, whole()));
-        double cold = (bend - from) * (pace(from) + pace(bend)) / 2;
-        return (cold + (to - bend)) * spec.speed() / slowness;
+        long rampEnd = Math.max(from, Math.min(to, fullSpeedTime()));
+        double rampTime = (rampEnd - from) * (coreShare(from) + coreShare(rampEnd)) / 2;
+        return (rampTime + (to - rampEnd)) * spec.speed() / slowdown;
     }
 
     /** When a slot will have done so much from now on, as many as now running. */
-    private long finish(long from, double amount) {
-        double need = amount * slowness / spec.speed();
-        long whole = whole();
-        if (from >= whole) {
-            return from + (long) Math.ceil(need);
+    private long finishTime(long from, double amount) {
+        double needed = amount * slowdown / spec.speed();
+        long rampEnd = fullSpeedTime();
+        if (from >= rampEnd) {
+            return from + (long) Math.ceil(needed);
         }
-        double until = (whole - from) * (pace(from) + pace(whole)) / 2;
-        if (need >= until) {
-            return whole + (long) Math.ceil(need - until);
+        double untilRampEnd = (rampEnd - from) * (coreShare(from) + coreShare(rampEnd)) / 2;
+        if (needed >= untilRampEnd) {
+            return rampEnd + (long) Math.ceil(needed - untilRampEnd);
         }
         // the pace grows evenly: need = a t + b t^2 / 2
-        double a = pace(from), b = (pace(whole) - a) / (whole - from);
-        return from + (long) Math.ceil((Math.sqrt(a * a + 2 * b * need) - a) / b);
+        double a = coreShare(from), b = (coreShare(rampEnd) - a) / (rampEnd - from);
+        return from + (long) Math.ceil((Math.sqrt(a * a + 2 * b * needed) - a) / b);
     }
 
     /** A job's last byte has come. */
@@ -226,7 +230,7 @@
             job.lost();
             return;
         }
-        weigh(job);
+        recordArrival(job);
         if (!up) {
             job.lost(); // it was the one too many
             return;
@@ -234,77 +238,79 @@
         if (draining
                 || job.slots() > spec.cores()
                 || job.memory() > spec.cores()
-                || waitingSlots + job.slots() > spec.queue() && !fits(job)) {
-            say(job::returned);
+                || waitingSlots + job.slots() > spec.queue() && !canStartNow(job)) {
+            deliver(job::returned);
             return;
         }
         queue.add(job);
         waitingSlots += job.slots();
-        pump();
+        startWaitingJobs();
     }
 
     /** Every job that comes weighs, those that are turned away too. */
-    private void weigh(Job job) {
-        long now = time.now();
-        double size = job.work() * job.slots();
-        arrivals.add(new Arrival(now, size, job.senderKnewOfRestart()));
-        arrived += size;
-        while (arrivals.peek().at() <= now - falling.window()) {
-            arrived -= arrivals.poll().size();
+    private void recordArrival(Job job) {
+        long now = timeline.now();
+        double work = job.work() * job.slots();
+        arrivals.add(new Arrival(now, work, job.senderKnewOfRestart()));
+        arrivedWork += work;
+        while (arrivals.peek().at() <= now - overloadLimit.window()) {
+            arrivedWork -= arrivals.poll().work();
         }
-        if (warmth(now) < 1) {
-            double jobs = falling.multiple()
+        if (capacityShare(now) < 1) {
+            double allowedJobs = overloadLimit.multiple()
                     * spec.cores()
                     * spec.speed()
-                    * warmth(now)
-                    * falling.window()
-                    / falling.meanJob();
-            double limit = (jobs + SLACK * Math.sqrt(jobs) + SLACK) * falling.meanJob();
-            double since = 0, knowing = 0;
+                    * capacityShare(now)
+                    * overloadLimit.window()
+                    / overloadLimit.meanJob();
+            double workLimit =
+                    (allowedJobs + RANDOM_ARRIVAL_ALLOWANCE * Math.sqrt(allowedJobs) + RANDOM_ARRIVAL_ALLOWANCE)
+                            * overloadLimit.meanJob();
+            double workSinceStart = 0, informedWork = 0;
             for (Arrival a : arrivals) {
-                since += a.at() >= bornAt ? a.size() : 0;
-                knowing += a.at() >= bornAt && a.knowing() ? a.size() : 0;
+                workSinceStart += a.at() >= startedAt ? a.work() : 0;
+                informedWork += a.at() >= startedAt && a.senderKnew() ? a.work() : 0;
             }
-            coldUse = Math.max(coldUse, knowing / limit);
-            if (since > limit) {
-                fallen = true;
-                pushedOver = knowing > KNOWING * since;
+            coldBudgetUsed = Math.max(coldBudgetUsed, informedWork / workLimit);
+            if (workSinceStart > workLimit) {
+                failedFromOverload = true;
+                overloadedByInformedSenders = informedWork > INFORMED_SHARE_OF_OVERLOAD * workSinceStart;
                 crash();
             }
         }
     }
 
-    private boolean fits(Job job) {
-        return queue.isEmpty() && room(job);
+    private boolean canStartNow(Job job) {
+        return queue.isEmpty() && hasRoom(job);
     }
 
-    private boolean room(Job job) {
+    private boolean hasRoom(Job job) {
         double memory = 0;
-        for (Running r : running) {
+        for (RunningJob r : running) {
             memory += r.job.memory();
         }
-        return used() + job.slots() <= spec.cores() && memory + job.memory() <= spec.cores();
+        return occupiedSlots() + job.slots() <= spec.cores() && memory + job.memory() <= spec.cores();
     }
 
     /** Starts what can start. */
-    private void pump() {
+    private void startWaitingJobs() {
         if (!up || hung) {
             return;
         }
-        boolean more = true;
-        while (more) {
-            more = false;
+        boolean startedOne = true;
+        while (startedOne) {
+            startedOne = false;
             for (Job job : queue) {
-                if (room(job)) {
+                if (hasRoom(job)) {
                     queue.remove(job);
                     waitingSlots = queue.isEmpty() ? 0 : waitingSlots - job.slots();
-                    settle();
-                    Running r = new Running(job);
+                    updateProgress();
+                    RunningJob r = new RunningJob(job);
                     running.add(r);
-                    say(job::started);
-                    planBeside(r);
-                    note(r);
-                    more = true;
+                    deliver(job::started);
+                    rescheduleAfterChange(r);
+                    scheduleProgress(r);
+                    startedOne = true;
                     break;
                 }
                 if (!spec.backfill()) {
@@ -315,95 +321,95 @@
     }
 
     /** Books what has been done since the last time. */
-    private void settle() {
-        long now = time.now();
-        double done = work(settledAt, now);
-        for (Running r : running) {
-            r.left -= done;
+    private void updateProgress() {
+        long now = timeline.now();
+        double done = workPerSlot(progressUpdatedAt, now);
+        for (RunningJob r : running) {
+            r.remainingWork -= done;
         }
-        settledAt = now;
+        progressUpdatedAt = now;
     }
 
     /** One more runs, or one less: while it is cold, that changes the pace of all. */
-    private void planBeside(Running fresh) {
-        if (time.now() < bornAt + spec.coldTime()) {
-            replan();
-        } else if (fresh != null) {
-            plan(fresh);
+    private void rescheduleAfterChange(RunningJob started) {
+        if (timeline.now() < startedAt + spec.coldTime()) {
+            rescheduleAll();
+        } else if (started != null) {
+            scheduleCompletion(started);
         }
     }
 
-    private void plan(Running r) {
-        int plan = ++r.plan;
+    private void scheduleCompletion(RunningJob r) {
+        int version = ++r.completionVersion;
         if (!hung) {
-            time.runAt(finish(time.now(), Math.max(0, r.left)), () -> {
-                if (plan == r.plan && up && running.contains(r)) {
-                    settle();
+            timeline.runAt(finishTime(timeline.now(), Math.max(0, r.remainingWork)), () -> {
+                if (version == r.completionVersion && up && running.contains(r)) {
+                    updateProgress();
                     running.remove(r);
-                    planBeside(null);
+                    rescheduleAfterChange(null);
                     served++;
-                    say(r.job::done);
-                    pump();
+                    deliver(r.job::done);
+                    startWaitingJobs();
                 }
             });
         }
     }
 
-    private void note(Running r) {
-        if (progressEvery > 0) {
-            time.runAt(time.now() + progressEvery, () -> {
+    private void scheduleProgress(RunningJob r) {
+        if (progressIntervalMicros > 0) {
+            timeline.runAt(timeline.now() + progressIntervalMicros, () -> {
                 if (up && running.contains(r)) {
                     if (!hung) {
-                        settle();
-                        double share = Math.min(1, Math.max(0, 1 - r.left / r.job.work()));
-                        say(() -> r.job.progress(share));
+                        updateProgress();
+                        double share = Math.min(1, Math.max(0, 1 - r.remainingWork / r.job.work()));
+                        deliver(() -> r.job.progress(share));
                     }
-                    note(r);
+                    scheduleProgress(r);
                 }
             });
         }
     }
 
-    private void say(Runnable word) {
+    private void deliver(Runnable callback) {
         if (hung) {
-            unsaid.add(word);
+            heldCallbacks.add(callback);
         } else {
-            word.run();
+            callback.run();
         }
     }
 
-    private void replan() {
-        running.forEach(this::plan);
+    private void rescheduleAll() {
+        running.forEach(this::scheduleCompletion);
     }
 
     /** From now on everything takes so many times as long. */
     public void setSlowdown(double factor) {
-        settle();
-        slowness = factor;
-        replan();
+        updateProgress();
+        slowdown = factor;
+        rescheduleAll();
     }
 
     /** It takes work and answers nothing, or goes on with what it has. */
-    public void setHung(boolean on) {
-        settle();
-        hung = on;
-        replan();
-        if (!on) {
-            List<Runnable> words = List.copyOf(unsaid);
-            unsaid.clear();
-            words.forEach(Runnable::run);
-            pump();
+    public void setHung(boolean hang) {
+        updateProgress();
+        hung = hang;
+        rescheduleAll();
+        if (!hang) {
+            List<Runnable> callbacks = List.copyOf(heldCallbacks);
+            heldCallbacks.clear();
+            callbacks.forEach(Runnable::run);
+            startWaitingJobs();
         }
     }
 
     /** It finishes what it runs, hands back what waits and takes nothing new; or takes work again. */
-    public void setDraining(boolean on) {
-        draining = on;
-        if (on) {
+    public void setDraining(boolean drain) {
+        draining = drain;
+        if (drain) {
             List<Job> waiting = List.copyOf(queue);
             queue.clear();
             waitingSlots = 0;
-            waiting.forEach(job -> say(job::returned));
+            waiting.forEach(job -> deliver(job::returned));
         }
     }
 
@@ -412,27 +418,27 @@
         if (!up) {
             return;
         }
-        settle();
+        updateProgress();
         up = false;
         List<Job> lost = new ArrayList<>(queue);
         running.forEach(r -> lost.add(r.job));
         queue.clear();
         running.clear();
-        unsaid.clear();
+        heldCallbacks.clear();
         waitingSlots = 0;
         lost.forEach(Job::lost);
     }
 
     /** The process starts again, cold. */
     public void restart() {
-        if (fallen) {
+        if (failedFromOverload) {
             return; // what was pushed over stays down
         }
         up = true;
         hung = false;
         draining = false;
-        slowness = 1;
-        bornAt = time.now();
-        settledAt = bornAt;
+        slowdown = 1;
+        startedAt = timeline.now();
+        progressUpdatedAt = startedAt;
     }
 }
--- a/src/test/java/barrowshore/emulate/ColdFleetTest.java
+++ b/src/test/java/barrowshore/emulate/ColdFleetTest.java
@@ -29,77 +29,77 @@
  * many times the mean, most get next to nothing, and their clocks are some milliseconds apart.
  */
 class ColdFleetTest {
-    private static final long MS = 1_000, S = 1_000_000, STEP = 5 * MS;
-    private static final long BOOT = 1_000 * S, COLD = 20 * S, WINDOW = 2 * S;
-    private static final int SCHEDULERS = 30, BUSY = 3, SEEDS = 4;
-    private static final double MULTIPLE = 3, START_CAPACITY = 0.2;
+    private static final long MILLISECOND = 1_000, SECOND = 1_000_000, STEP_MICROS = 5 * MILLISECOND;
+    private static final long SERVER_START = 1_000 * SECOND, WARM_UP_MICROS = 20 * SECOND, WINDOW_MICROS = 2 * SECOND;
+    private static final int SCHEDULER_COUNT = 30, BUSY_SCHEDULERS = 3, SEED_COUNT = 4;
+    private static final double OVERLOAD_MULTIPLE = 3, START_CAPACITY = 0.2;
     /** How far apart clocks are at most. */
-    private static final long SKEW = 20 * MS;
+    private static final long MAX_CLOCK_SKEW_MICROS = 20 * MILLISECOND;
 
-    private static final long TURN = 4 * WINDOW, BOTH_FOR = 3 * S;
+    private static final long TURN_MICROS = 4 * WINDOW_MICROS, OVERLAP_MICROS = 3 * SECOND;
 
     @ParameterizedTest
     @CsvSource({"16,50000", "16,200000", "16,600000", "4,600000"})
     void theSumOfAFleetThatStaysIsKept(int slots, long work) {
-        assertKept(slots, work, 0, 0);
+        assertBudgetKept(slots, work, 0, 0);
     }
 
     /** The process after starts with half of what is due to a scheduler, and has all once the one before is gone. */
     @ParameterizedTest
     @CsvSource({"16,50000", "16,200000", "16,600000", "4,600000"})
     void theSumIsKeptWhereSchedulersRunInTwoProcessesForAWhile(int slots, long work) {
-        assertKept(slots, work, 0, 4 * S);
+        assertBudgetKept(slots, work, 0, 4 * SECOND);
     }
 
     /** A scheduler that has just started does not know what it sent before, in the same turn. */
     @ParameterizedTest
     @CsvSource({"16,50000", "16,200000", "16,600000", "4,600000"})
     void theSumIsKeptWhereSchedulersAreKilledAndStartAfreshUnderTheirNames(int slots, long work) {
-        assertKept(slots, work, 300 * MS, 0);
+        assertBudgetKept(slots, work, 300 * MILLISECOND, 0);
     }
 
-    private static void assertKept(int slots, long work, long restartEvery, long twoProcessesEvery) {
-        Count most = new Count(slots, work);
+    private static void assertBudgetKept(int slots, long work, long restartEvery, long twoProcessesEvery) {
+        WindowCount fullest = new WindowCount(slots, work);
         int calls = 0;
-        for (int seed = 0; seed < SEEDS; seed++) {
+        for (int seed = 0; seed < SEED_COUNT; seed++) {
             Fleet fleet = new Fleet(slots, work, seed, restartEvery, twoProcessesEvery);
             fleet.play();
             calls += fleet.count.calls;
-            most = fleet.count.use > most.use ? fleet.count : most;
+            fullest = fleet.count.budgetUsed > fullest.budgetUsed ? fleet.count : fullest;
         }
-        String figures = most.figures() + String.format(Locale.ROOT, "; %d calls over %d seeds", calls, SEEDS);
-        assertThat(most.use).as(figures).isLessThanOrEqualTo(1);
-        assertThat(most.use).as("the server is used: %s", figures).isGreaterThan(0.15);
+        String figures = fullest.figures() + String.format(Locale.ROOT, "; %d calls over %d seeds", calls, SEED_COUNT);
+        assertThat(fullest.budgetUsed).as(figures).isLessThanOrEqualTo(1);
+        assertThat(fullest.budgetUsed).as("the server is used: %s", figures).isGreaterThan(0.15);
     }
 
     /** What has come to the server within a window, and the fullest of all windows. */
-    private static final class Count {
+    private static final class WindowCount {
         private final Deque<Long> window = new ArrayDeque<>();
         private final int slots;
         private final long work;
         int calls;
-        double use;
-        private int most;
-        private double allowed;
+        double budgetUsed;
+        private int mostCalls;
+        private double allowedJobs;
 
-        Count(int slots, long work) {
+        WindowCount(int slots, long work) {
             this.slots = slots;
             this.work = work;
         }
 
-        void came(long now) {
+        void recordCall(long now) {
             calls++;
             window.add(now);
-            while (window.peek() <= now - WINDOW) {
+            while (window.peek() <= now - WINDOW_MICROS) {
                 window.remove();
             }
-            double share = START_CAPACITY + (1 - START_CAPACITY) * (now - BOOT) / COLD;
-            double jobs = MULTIPLE * share * slots * WINDOW / work;
+            double share = START_CAPACITY + (1 - START_CAPACITY) * (now - SERVER_START) / WARM_UP_MICROS;
+            double jobs = OVERLOAD_MULTIPLE * share * slots * WINDOW_MICROS / work;
             double used = window.size() / (jobs + 2 * Math.sqrt(jobs) + 2);
-            if (used > use) {
-                use = used;
-                most = window.size();
-                allowed = jobs;
+            if (used > budgetUsed) {
+                budgetUsed = used;
+                mostCalls = window.size();
+                allowedJobs = jobs;
             }
         }
 
@@ -108,35 +108,35 @@
                     Locale.ROOT,
                     "%d slots, jobs of %d ms: most %d calls in a window where N is %.1f, %.2f of N + 2 sqrt(N) + 2",
                     slots,
-                    work / MS,
-                    most,
-                    allowed,
-                    use);
+                    work / MILLISECOND,
+                    mostCalls,
+                    allowedJobs,
+                    budgetUsed);
         }
     }
 
     /** A process: its module, and the request that it has sent on in the present call. */
-    private static final class Process implements DispatchApi.Actions {
+    private static final class SchedulerProcess implements DispatchApi.Actions {
         private record Timer(long at, String token) {}
 
         final DispatchApi module;
-        private final long ahead;
+        private final long clockSkew;
         private final List<Timer> timers = new ArrayList<>();
         private long now;
         private boolean sent;
         private int requests;
 
-        Process(Settings settings, long ahead, long now, Member server) {
-            this.ahead = ahead;
-            module = Emulator.module(settings, this, null);
-            at(now);
+        SchedulerProcess(Settings settings, long clockSkew, long now, Member server) {
+            this.clockSkew = clockSkew;
+            module = Emulator.productionModule(settings, this, null);
+            advanceTo(now);
             module.start(this.now);
             module.list(this.now, ListKind.INITIAL, List.of(server));
         }
 
         /** Lets the time pass up to now. */
-        void at(long time) {
-            now = time + ahead;
+        void advanceTo(long time) {
+            now = time + clockSkew;
             List<Timer> due = timers.stream().filter(t -> t.at <= now).toList();
             timers.removeAll(due);
             due.forEach(t -> module.timerFired(now, t.token));
@@ -146,12 +146,12 @@
         boolean request(long work) {
             sent = false;
             String id = "r" + requests++;
-            module.request(now, new Request(id, 0, -1, 1, 0, 2 * S));
-            boolean came = sent;
-            if (came) {
+            module.request(now, new Request(id, 0, -1, 1, 0, 2 * SECOND));
+            boolean reachedServer = sent;
+            if (reachedServer) {
                 module.outcome(now, id, 0, true, Status.OK, work, null);
             }
-            return came;
+            return reachedServer;
         }
 
         @Override
@@ -188,92 +188,94 @@
 
     /** The schedulers, each of one process or of two, and what befalls them. */
     private static final class Fleet {
-        final Count count;
+        final WindowCount count;
         private final UniformRandomProvider random;
         private final long work;
         private final long restartEvery;
         private final long twoProcessesEvery;
         private final Member server;
-        private final long[] ahead;
-        private final List<List<Process>> schedulers = new ArrayList<>();
-        private long seeds;
+        private final long[] clockSkews;
+        private final List<List<SchedulerProcess>> schedulers = new ArrayList<>();
+        private long lastSeed;
 
         Fleet(int slots, long work, int seed, long restartEvery, long twoProcessesEvery) {
-            count = new Count(slots, work);
+            count = new WindowCount(slots, work);
             random = RandomSource.XO_SHI_RO_256_PP.create(seed);
             this.work = work;
             this.restartEvery = restartEvery;
             this.twoProcessesEvery = twoProcessesEvery;
-            server = new Member("cold-" + seed, Health.READY, slots, 0, 0, 0, BOOT);
-            ahead = random.longs(SCHEDULERS, 0, SKEW).toArray();
-            for (int me = 0; me < SCHEDULERS; me++) {
-                schedulers.add(new ArrayList<>(List.of(process(me, BOOT - TURN))));
+            server = new Member("cold-" + seed, Health.READY, slots, 0, 0, 0, SERVER_START);
+            clockSkews = random.longs(SCHEDULER_COUNT, 0, MAX_CLOCK_SKEW_MICROS).toArray();
+            for (int me = 0; me < SCHEDULER_COUNT; me++) {
+                schedulers.add(new ArrayList<>(List.of(newProcess(me, SERVER_START - TURN_MICROS))));
             }
         }
 
-        private Process process(int me, long now) {
-            Settings set = new Settings();
-            set.seed = ++seeds;
-            set.dispatchers = SCHEDULERS;
-            set.ownIndex = me;
-            set.tickMicros = STEP;
+        private SchedulerProcess newProcess(int index, long now) {
+            Settings settings = new Settings();
+            settings.seed = ++lastSeed;
+            settings.dispatchers = SCHEDULER_COUNT;
+            settings.ownIndex = index;
+            settings.tickMicros = STEP_MICROS;
             // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
-            set.classes = new JobClass[] {
-                new JobClass(work, 19, 2 * S, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500 * MS, -1, 0)
+            settings.classes = new JobClass[] {
+                new JobClass(work, 19, 2 * SECOND, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500 * MILLISECOND, -1, 0)
             };
-            set.startCapacity = START_CAPACITY;
-            set.warmUpMicros = COLD;
-            set.overloadWindowMicros = WINDOW;
-            set.overloadMultiple = MULTIPLE;
-            return new Process(set, ahead[me], now, server);
+            settings.startCapacity = START_CAPACITY;
+            settings.warmUpMicros = WARM_UP_MICROS;
+            settings.overloadWindowMicros = WINDOW_MICROS;
+            settings.overloadMultiple = OVERLOAD_MULTIPLE;
+            return new SchedulerProcess(settings, clockSkews[index], now, server);
         }
 
         void play() {
-            for (long now = BOOT + STEP; now < BOOT + COLD; now += STEP) {
-                befall(now);
-                for (int me = 0; me < SCHEDULERS; me++) {
-                    for (Process process : schedulers.get(me)) {
-                        process.at(now);
-                        serve(now, process, requests(now, me));
+            for (long now = SERVER_START + STEP_MICROS; now < SERVER_START + WARM_UP_MICROS; now += STEP_MICROS) {
+                injectRestarts(now);
+                for (int index = 0; index < SCHEDULER_COUNT; index++) {
+                    for (SchedulerProcess process : schedulers.get(index)) {
+                        process.advanceTo(now);
+                        serve(now, process, requestCount(now, index));
                     }
                 }
             }
         }
 
-        private void serve(long now, Process process, int requests) {
+        private void serve(long now, SchedulerProcess process, int requests) {
             for (int k = 0; k < requests; k++) {
                 if (process.request(work)) {
-                    count.came(now);
+                    count.recordCall(now);
                 }
             }
         }
 
         /** How many requests come to a scheduler in a step: busy are those that may have a turn, the worst case. */
-        private int requests(long now, int me) {
-            return busy(now, me) ? 2 : random.nextInt(20) == 0 ? 1 : 0;
+        private int requestCount(long now, int index) {
+            return isBusy(now, index) ? 2 : random.nextInt(20) == 0 ? 1 : 0;
         }
 
-        private boolean busy(long now, int me) {
-            return Math.floorMod(me - now / TURN - server.worker().hashCode(), SCHEDULERS / BUSY) == 0;
+        private boolean isBusy(long now, int index) {
+            return Math.floorMod(
+                            index - now / TURN_MICROS - server.worker().hashCode(), SCHEDULER_COUNT / BUSY_SCHEDULERS)
+                    == 0;
         }
 
-        private void befall(long now) {
-            long since = now - BOOT;
-            if (restartEvery > 0 && since % restartEvery == 0) {
-                int me = random.nextInt(SCHEDULERS);
-                while (random.nextInt(20) > 0 && !busy(now, me)) {
-                    me = random.nextInt(SCHEDULERS);
+        private void injectRestarts(long now) {
+            long sinceStart = now - SERVER_START;
+            if (restartEvery > 0 && sinceStart % restartEvery == 0) {
+                int index = random.nextInt(SCHEDULER_COUNT);
+                while (random.nextInt(20) > 0 && !isBusy(now, index)) {
+                    index = random.nextInt(SCHEDULER_COUNT);
                 }
-                schedulers.get(me).set(0, process(me, now));
+                schedulers.get(index).set(0, newProcess(index, now));
             }
-            if (twoProcessesEvery > 0 && since % twoProcessesEvery == 0) {
-                for (int me = 0; me < SCHEDULERS; me++) {
-                    schedulers.get(me).add(process(me, now));
-                    schedulers.get(me).forEach(process -> process.module.setDispatcherShare(0.5));
+            if (twoProcessesEvery > 0 && sinceStart % twoProcessesEvery == 0) {
+                for (int index = 0; index < SCHEDULER_COUNT; index++) {
+                    schedulers.get(index).add(newProcess(index, now));
+                    schedulers.get(index).forEach(process -> process.module.setDispatcherShare(0.5));
                 }
             }
-            if (twoProcessesEvery > 0 && since % twoProcessesEvery == BOTH_FOR) {
-                for (List<Process> processes : schedulers) {
+            if (twoProcessesEvery > 0 && sinceStart % twoProcessesEvery == OVERLAP_MICROS) {
+                for (List<SchedulerProcess> processes : schedulers) {
                     if (processes.size() > 1) {
                         processes.remove(0);
                         processes.get(0).module.setDispatcherShare(1);
--- a/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
+++ b/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
@@ -22,59 +22,60 @@
 
 /** Drawn deployments: whatever a platform tells and allows, rules hold; and the world that says so sees a broken one. */
 class DeploymentComparisonTest {
-    private static Report play(long seed, World.Modules modules) {
-        Deployment.Drawn drawn = Deployment.draw(seed);
-        return new World(drawn.day(), drawn.deployment(), OperatorSettings.NONE, seed, modules).play();
+    private static Report play(long seed, Emulation.ModuleFactory modules) {
+        Deployment.DrawnDeployment drawn = Deployment.draw(seed);
+        return new Emulation(drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, modules).play();
     }
 
     /** A policy that believes other settings than are in force. */
-    private static World.Modules misled(Consumer<Settings> otherwise) {
+    private static Emulation.ModuleFactory withWrongSettings(Consumer<Settings> change) {
         return (settings, actions, truth) -> {
             Settings believed = new Settings();
             believed.copyIdentityFrom(settings);
             believed.copyReloadableFrom(settings);
-            otherwise.accept(believed);
+            change.accept(believed);
             return new BaselineDispatcher(
                     Policy.RANDOM, believed, actions, new SplittableRandom(settings.seed)::nextDouble, null);
         };
     }
 
     @Test
-    void noRuleIsBrokenOnAnyDeployment() {
+    void noRuleIsViolatedOnAnyDeployment() {
         assertThat(DeploymentComparison.play(150, 1, false))
-                .allSatisfy(row -> assertThat(row.module().rulesBroken())
+                .allSatisfy(row -> assertThat(row.module().violations())
                         .as("seed %d: %s", row.seed(), row.drawn().deployment().features())
                         .isEmpty());
     }
 
     @Test
-    void everyRivalKeepsTheRules() {
-        List<DeploymentComparison.Row> rows = DeploymentComparison.play(40, 1, true);
-        assertThat(rows).allSatisfy(row -> assertThat(row.rivals()).hasSize(Policy.values().length));
+    void everyBaselineKeepsTheRules() {
+        List<DeploymentComparison.Result> rows = DeploymentComparison.play(40, 1, true);
+        assertThat(rows).allSatisfy(row -> assertThat(row.baselineScores()).hasSize(Policy.values().length));
         // One that is put at 0 has broken a rule: a slow start by chance may push a cold node over now and then.
         assertThat(rows.stream()
-                        .flatMap(row -> row.rivals().values().stream())
+                        .flatMap(row -> row.baselineScores().values().stream())
                         .filter(score -> score == 0)
                         .count())
                 .isLessThan(12);
     }
 
     @Test
-    void whateverDecidesTheDayIsTheSame() {
+    void offeredWorkDoesNotDependOnTheModule() {
         for (long seed : new long[] {3, 4, 5}) {
-            double asked = play(seed, Emulator::module).asked();
-            assertThat(play(seed, misled(s -> {})).asked()).isEqualTo(asked);
-            assertThat(new JSON().toJSON(play(seed, Emulator::module).json()))
-                    .isEqualTo(new JSON().toJSON(play(seed, Emulator::module).json()));
+            double offered = play(seed, Emulator::productionModule).offeredWorth();
+            assertThat(play(seed, withWrongSettings(s -> {})).offeredWorth()).isEqualTo(offered);
+            assertThat(new JSON().toJSON(play(seed, Emulator::productionModule).json()))
+                    .isEqualTo(new JSON()
+                            .toJSON(play(seed, Emulator::productionModule).json()));
         }
     }
 
     @Test
-    void aJobThatRunsTwiceIsSeen() {
+    void duplicateRunsAreDetected() {
         assertThat(LongStream.range(1, 40)
                         .mapToObj(seed -> play(
                                 seed,
-                                misled(s -> s.classes = Arrays.stream(s.classes)
+                                withWrongSettings(s -> s.classes = Arrays.stream(s.classes)
                                         .map(c -> new JobClass(
                                                 c.targetMicros(),
                                                 c.targetStretch(),
@@ -87,20 +88,20 @@
                                                 -1,
                                                 0))
                                         .toArray(JobClass[]::new))))
-                        .map(Report::rulesBroken))
+                        .map(Report::violations))
                 .anyMatch(rules -> rules.contains("ran twice"));
     }
 
     @Test
-    void whatIsNotAllowedIsSeen() {
+    void forbiddenActionsAreDetected() {
         assertThat(LongStream.range(1, 40)
-                        .mapToObj(seed -> play(seed, misled(s -> s.maxAttempts = 9)))
-                        .map(Report::rulesBroken))
+                        .mapToObj(seed -> play(seed, withWrongSettings(s -> s.maxAttempts = 9)))
+                        .map(Report::violations))
                 .anyMatch(rules -> rules.contains("not allowed"));
     }
 
     @Test
-    void theTableNamesWhatIsOnWorstFirst() throws Exception {
+    void theTableListsFeaturesAndBaselines() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DeploymentComparison.run(new PrintStream(out, true), 6, 1, true, null);
         assertThat(out.toString())
--- a/src/test/java/barrowshore/emulate/EmulatorTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorTest.java
@@ -20,7 +20,7 @@
 /** Whole days in virtual time: every rule in every scenario, the same run for the same seed, and what zones are for. */
 class EmulatorTest {
     private static final Path SCENARIOS = Path.of("scenarios");
-    private static final OperatorSettings ON = OperatorSettings.read(Path.of("deploy/operator.xml"));
+    private static final OperatorSettings HALLS_ON = OperatorSettings.read(Path.of("deploy/operator.xml"));
 
     static Stream<String> scenarios() throws IOException {
         try (Stream<Path> all = Files.list(SCENARIOS)) {
@@ -43,39 +43,39 @@
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void noRuleIsBrokenWithHallsOnOrOff(String file) {
-        for (OperatorSettings operator : List.of(ON, OperatorSettings.NONE)) {
+    void noRuleIsViolatedWithHallsOnOrOff(String file) {
+        for (OperatorSettings operator : List.of(HALLS_ON, OperatorSettings.NONE)) {
             assertThat(play(file, operator, 2)).allSatisfy(r -> {
-                assertThat(r.broken()).as(r.table()).isZero();
-                assertThat(r.coldUse()).isLessThan(1);
+                assertThat(r.violationCount()).as(r.table()).isZero();
+                assertThat(r.coldBudgetUsed()).isLessThan(1);
                 assertThat(r.longestMessage).isLessThanOrEqualTo(256);
-                assertThat(r.kept()).isGreaterThan(0.5);
+                assertThat(r.servedWorthShare()).isGreaterThan(0.5);
             });
         }
     }
 
     @Test
-    void oneSeedGivesOneRun() {
+    void sameSeedGivesSameRun() {
         for (String file : List.of("hall-flap.xml", "hall-fresh.xml")) {
-            String once = new JSON().toJSON(play(file, ON, 1).get(0).json());
-            assertThat(new JSON().toJSON(play(file, ON, 1).get(0).json())).isEqualTo(once);
+            String once = new JSON().toJSON(play(file, HALLS_ON, 1).get(0).json());
+            assertThat(new JSON().toJSON(play(file, HALLS_ON, 1).get(0).json())).isEqualTo(once);
         }
     }
 
     /** Fourteen schedulers share nodes that return cold: each is used, and all together stay under its budget. */
     @Test
-    void coldNodesAreSharedByAFleetWithoutFallingOver() {
+    void coldNodesAreSharedByAFleetWithoutOverload() {
         for (Report r : play("fleet-cold.xml", OperatorSettings.NONE, 4)) {
-            assertThat(r.fallen()).as(r.table()).isZero();
-            assertThat(r.coldUse()).as(r.table()).isBetween(0.1, 1.0);
+            assertThat(r.overloadedNodes()).as(r.table()).isZero();
+            assertThat(r.coldBudgetUsed()).as(r.table()).isBetween(0.1, 1.0);
         }
     }
 
     @Test
-    void aDarkHallGetsNextToNothingAndComesBack() {
-        for (Report r : play("hall-dark.xml", ON, 4)) {
-            assertThat(r.toDark()).as(r.table()).isLessThan(0.03);
-            assertThat(r.moveLines())
+    void aDarkHallGetsAlmostNoJobsAndReturns() {
+        for (Report r : play("hall-dark.xml", HALLS_ON, 4)) {
+            assertThat(r.darkSendShare()).as(r.table()).isLessThan(0.03);
+            assertThat(r.hallStateChangeLines())
                     .anyMatch(l -> l.contains("hala-a dark"))
                     .anyMatch(l -> l.contains("hala-a returning"))
                     .anyMatch(l -> l.contains("hala-a serving"))
@@ -84,41 +84,44 @@
     }
 
     @Test
-    void troublesOfSingleNodesMoveNoHall() {
-        assertThat(play("single-nodes.xml", ON, 20))
-                .allSatisfy(r -> assertThat(r.moves()).as(r.table()).isZero());
+    void faultsOfSingleNodesChangeNoHallState() {
+        assertThat(play("single-nodes.xml", HALLS_ON, 20))
+                .allSatisfy(
+                        r -> assertThat(r.hallStateChangeCount()).as(r.table()).isZero());
     }
 
     @Test
-    void aPlannedDrainIsNeverHeldAgainstAHall() {
-        assertThat(play("hall-planned.xml", ON, 4))
-                .allSatisfy(r -> assertThat(r.moveLines()).noneMatch(l -> l.contains("doubted") || l.contains("held")));
+    void aPlannedDrainChangesNoHallState() {
+        assertThat(play("hall-planned.xml", HALLS_ON, 4)).allSatisfy(r -> assertThat(r.hallStateChangeLines())
+                .noneMatch(l -> l.contains("doubted") || l.contains("held")));
     }
 
     @Test
-    void aJumpOfTrafficIntoTheHallThatIsLeftIsBounded() {
-        List<Report> on = play("hall-burst.xml", ON, 8), off = play("hall-burst.xml", OperatorSettings.NONE, 8);
+    void spillIntoTheRemainingHallIsBounded() {
+        List<Report> on = play("hall-burst.xml", HALLS_ON, 8), off = play("hall-burst.xml", OperatorSettings.NONE, 8);
         // The limit is a share of the slots that there are, and the crowd must not make them look like more.
         assertThat(on)
                 .allSatisfy(r -> assertThat(r.mostSpillShare(1)).as(r.table()).isLessThanOrEqualTo(1));
         assertThat(on.stream().mapToDouble(r -> r.servedShare(1)).sum())
                 .isGreaterThan(off.stream().mapToDouble(r -> r.servedShare(1)).sum());
-        assertThat(on.stream().mapToDouble(Report::kept).sum())
-                .isGreaterThan(off.stream().mapToDouble(Report::kept).sum());
+        assertThat(on.stream().mapToDouble(Report::servedWorthShare).sum())
+                .isGreaterThan(
+                        off.stream().mapToDouble(Report::servedWorthShare).sum());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"hall=\"hala-c\"|there is no hall hala-c", "part=\"2\"|'2'", "at=\"soon\"|soon"})
-    void aWrongScenarioIsNamedByLine(String change) {
-        String[] words = change.split("\\|");
+    void anInvalidScenarioIsReportedWithItsLine(String change) {
+        String[] changeAndMessage = change.split("\\|");
         String text = "<scenario xmlns=\"urn:barrowshore:scenario:1\" name=\"x\" length=\"10s\">\n"
                 + "<hall name=\"hala-a\" nodes=\"2\" schedulers=\"1\" clients=\"1\"/>\n<dark "
-                + (words[0].startsWith("at") ? "" : "at=\"1s\" ") + "for=\"1s\" "
-                + (words[0].startsWith("hall") ? "" : "hall=\"hala-a\" ") + words[0] + "/>\n</scenario>";
+                + (changeAndMessage[0].startsWith("at") ? "" : "at=\"1s\" ") + "for=\"1s\" "
+                + (changeAndMessage[0].startsWith("hall") ? "" : "hall=\"hala-a\" ") + changeAndMessage[0]
+                + "/>\n</scenario>";
         assertThatThrownBy(() -> Scenario.parse(text))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("line 3")
                 .hasMessageContaining("dark")
-                .hasMessageContaining(words[1]);
+                .hasMessageContaining(changeAndMessage[1]);
     }
 }
--- /dev/null
+++ b/src/test/java/barrowshore/emulate/LoadBalanceStatsTest.java
@@ -0,0 +1,54 @@
+package barrowshore.emulate;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
+
+import barrowshore.emulate.LoadBalanceStats.NodeSample;
+import java.util.Collections;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What is counted of an even load, on spreads that are known. */
+class LoadBalanceStatsTest {
+    private static final NodeSample IDLE_NODE = new NodeSample(4, 4, 0),
+            FULL_NODE = new NodeSample(4, 0, 6),
+            LOST_NODE = new NodeSample(0, 4, 0);
+    private final LoadBalanceStats stats = new LoadBalanceStats();
+
+    private void playOneSecond(List<NodeSample> nodes, int... nodeByScheduler) {
+        for (int k = 0; k < 10; k++) {
+            for (int scheduler = 0; scheduler < nodeByScheduler.length; scheduler++) {
+                stats.recordArrival(nodeByScheduler[scheduler], scheduler, 100_000);
+            }
+            stats.addSample(nodes, 4);
+        }
+    }
+
+    @Test
+    void anEvenSpreadHasNoVariation() {
+        playOneSecond(Collections.nCopies(4, IDLE_NODE), 0, 1, 2, 3);
+        assertThat(stats.variationShort()).isZero();
+        assertThat(stats.variationLong()).isZero();
+        assertThat(stats.peakLong()).isEqualTo(1);
+        assertThat(stats.idleWhileOthersQueue()).isZero();
+        assertThat(stats.crowding()).as("one at each, where chance crowds them").isLessThan(0.5);
+    }
+
+    @Test
+    void crowdingOnOneNodeIsDetected() {
+        playOneSecond(List.of(FULL_NODE, IDLE_NODE, IDLE_NODE, IDLE_NODE), 0, 0, 0, 0);
+        assertThat(stats.peakLong()).isEqualTo(4);
+        assertThat(stats.variationLong()).isCloseTo(Math.sqrt(3), within(1e-9));
+        assertThat(stats.idleWhileOthersQueue())
+                .as("6 slots of work wait, 12 are free, 4 nodes")
+                .isEqualTo(1.5);
+        assertThat(stats.crowding()).isGreaterThanOrEqualTo(1);
+    }
+
+    @Test
+    void lostNodesAreNotCounted() {
+        playOneSecond(List.of(IDLE_NODE, IDLE_NODE, LOST_NODE, FULL_NODE), 0, 1, 3, 3);
+        assertThat(stats.peakLong()).isCloseTo(1.5, within(1e-9));
+        assertThat(stats.idleWhileOthersQueue()).isEqualTo(2);
+    }
+}
--- a/src/test/java/barrowshore/model/WorkerModelTest.java
+++ b/src/test/java/barrowshore/model/WorkerModelTest.java
@@ -9,14 +9,14 @@
 
 /** The model of an order node, against figures worked out by hand. */
 class WorkerModelTest {
-    private static final long MS = 1_000, S = 1_000_000;
+    private static final long MILLISECOND = 1_000, SECOND = 1_000_000;
 
-    private static final class Given implements Timeline {
+    private static final class ManualTimeline implements Timeline {
         private record Event(long at, long order, Runnable run) {}
 
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-        private long now = 100 * S;
+        private long now = 100 * SECOND;
         private long order;
 
         @Override
@@ -29,26 +29,26 @@
             events.add(new Event(time, order++, run));
         }
 
-        void pass(long time) {
-            long until = now + time;
+        void advance(long duration) {
+            long until = now + duration;
             while (!events.isEmpty() && events.peek().at <= until) {
-                Event e = events.poll();
-                now = Math.max(now, e.at);
-                e.run.run();
+                Event event = events.poll();
+                now = Math.max(now, event.at);
+                event.run.run();
             }
             now = until;
         }
     }
 
-    private final Given time = new Given();
-    private final List<String> words = new ArrayList<>();
+    private final ManualTimeline timeline = new ManualTimeline();
+    private final List<String> callbacks = new ArrayList<>();
 
     private WorkerModel node(int cores, double speed, double queue, boolean backfill) {
         return new WorkerModel(
-                time,
-                new WorkerModel.Spec(cores, speed, queue, backfill, 0.2, 20 * S),
-                new WorkerModel.OverloadLimit(3, 2 * S, 500 * MS),
-                2 * S);
+                timeline,
+                new WorkerModel.Spec(cores, speed, queue, backfill, 0.2, 20 * SECOND),
+                new WorkerModel.OverloadLimit(3, 2 * SECOND, 500 * MILLISECOND),
+                2 * SECOND);
     }
 
     private WorkerModel.Job job(String name, double slots, long work) {
@@ -64,7 +64,7 @@
             }
 
             private void say(String word) {
-                words.add(name + " " + word + " " + (time.now() - 100 * S) / MS);
+                callbacks.add(name + " " + word + " " + (timeline.now() - 100 * SECOND) / MILLISECOND);
             }
 
             @Override
@@ -102,29 +102,29 @@
     @Test
     void servesInOrderOrWhatFits() {
         WorkerModel fifo = node(2, 0.5, 10, false);
-        fifo.offer(job("a", 1, 100 * MS));
-        fifo.offer(job("b", 2, 100 * MS));
-        fifo.offer(job("c", 1, 100 * MS));
-        time.pass(S);
-        assertThat(words)
+        fifo.offer(job("a", 1, 100 * MILLISECOND));
+        fifo.offer(job("b", 2, 100 * MILLISECOND));
+        fifo.offer(job("c", 1, 100 * MILLISECOND));
+        timeline.advance(SECOND);
+        assertThat(callbacks)
                 .containsExactly(
                         "a started 0", "a done 200", "b started 200", "b done 400", "c started 400", "c done 600");
-        words.clear();
+        callbacks.clear();
         WorkerModel backfill = node(2, 1, 10, true);
-        backfill.offer(job("a", 1, 100 * MS));
-        backfill.offer(job("b", 2, 100 * MS));
-        backfill.offer(job("c", 1, 100 * MS));
-        assertThat(words).containsExactly("a started 1000", "c started 1000");
+        backfill.offer(job("a", 1, 100 * MILLISECOND));
+        backfill.offer(job("b", 2, 100 * MILLISECOND));
+        backfill.offer(job("c", 1, 100 * MILLISECOND));
+        assertThat(callbacks).containsExactly("a started 1000", "c started 1000");
     }
 
     @Test
     void tellsProgressAndSlowsDown() {
         WorkerModel node = node(1, 1, 10, false);
-        node.offer(job("a", 1, 4 * S));
-        time.pass(S);
+        node.offer(job("a", 1, 4 * SECOND));
+        timeline.advance(SECOND);
         node.setSlowdown(3);
-        time.pass(20 * S);
-        assertThat(words)
+        timeline.advance(20 * SECOND);
+        assertThat(callbacks)
                 .containsExactly(
                         "a started 0",
                         "a at 33% 2000",
@@ -137,28 +137,28 @@
     @Test
     void aHungNodeTakesWorkAndAnswersLater() {
         WorkerModel node = node(1, 1, 10, false);
-        node.offer(job("a", 1, S));
-        time.pass(500 * MS);
+        node.offer(job("a", 1, SECOND));
+        timeline.advance(500 * MILLISECOND);
         node.setHung(true);
-        node.offer(job("b", 1, S));
-        time.pass(10 * S);
-        assertThat(words).containsExactly("a started 0");
+        node.offer(job("b", 1, SECOND));
+        timeline.advance(10 * SECOND);
+        assertThat(callbacks).containsExactly("a started 0");
         node.setHung(false);
-        time.pass(5 * S);
-        assertThat(words).containsExactly("a started 0", "a done 11000", "b started 11000", "b done 12000");
+        timeline.advance(5 * SECOND);
+        assertThat(callbacks).containsExactly("a started 0", "a done 11000", "b started 11000", "b done 12000");
     }
 
     @Test
     void turnsAwayAboveItsQueueAndWhileItDrains() {
         WorkerModel node = node(1, 1, 2, false);
         for (String name : List.of("a", "b", "c", "d")) {
-            node.offer(job(name, 1, S));
+            node.offer(job(name, 1, SECOND));
         }
-        assertThat(words).containsExactly("a started 0", "d returned 0");
+        assertThat(callbacks).containsExactly("a started 0", "d returned 0");
         node.setDraining(true);
-        node.offer(job("e", 1, S));
-        time.pass(5 * S);
-        assertThat(words.subList(2, words.size()))
+        node.offer(job("e", 1, SECOND));
+        timeline.advance(5 * SECOND);
+        assertThat(callbacks.subList(2, callbacks.size()))
                 .containsExactly("b returned 0", "c returned 0", "e returned 0", "a done 1000");
     }
 
@@ -167,13 +167,13 @@
         WorkerModel node = node(1, 1, 10, false);
         node.crash();
         node.restart();
-        node.offer(job("a", 1, S));
-        time.pass(30 * S);
+        node.offer(job("a", 1, SECOND));
+        timeline.advance(30 * SECOND);
         // 0.2 t + 0.8 t^2 / 40 s = 1 s of work: t = 3.66 s
-        assertThat(words).containsExactly("a started 0", "a at 48% 2000", "a done 3660");
-        node.offer(job("b", 1, S));
-        time.pass(S);
-        assertThat(words).last().isEqualTo("b done 31000");
+        assertThat(callbacks).containsExactly("a started 0", "a at 48% 2000", "a done 3660");
+        node.offer(job("b", 1, SECOND));
+        timeline.advance(SECOND);
+        assertThat(callbacks).last().isEqualTo("b done 31000");
     }
 
     /** 0.2 of ten cores are two: a lone job has one to itself, eight share 2.2 and more (0.275 t + 0.025 t^2 = 0.5 s). */
@@ -182,14 +182,14 @@
         WorkerModel node = node(10, 1, 100, false);
         node.crash();
         node.restart();
-        node.offer(job("alone", 1, 500 * MS));
-        time.pass(500 * MS);
-        assertThat(words).last().isEqualTo("alone done 500");
+        node.offer(job("alone", 1, 500 * MILLISECOND));
+        timeline.advance(500 * MILLISECOND);
+        assertThat(callbacks).last().isEqualTo("alone done 500");
         for (int k = 0; k < 8; k++) {
-            node.offer(job("j" + k, 1, 500 * MS));
+            node.offer(job("j" + k, 1, 500 * MILLISECOND));
         }
-        time.pass(2 * S);
-        assertThat(words).filteredOn(w -> w.endsWith("done 2088")).hasSize(8);
+        timeline.advance(2 * SECOND);
+        assertThat(callbacks).filteredOn(w -> w.endsWith("done 2088")).hasSize(8);
     }
 
     @Test
@@ -199,23 +199,23 @@
         node.restart();
         // Three times 0.2 of 4 cores for 2 s is 9.6 usual jobs of 0.5 s; with 3 sqrt(9.6) + 3 for chance, 21.9 of them.
         for (int k = 0; k < 21; k++) {
-            node.offer(job("j" + k, 1, 500 * MS));
+            node.offer(job("j" + k, 1, 500 * MILLISECOND));
         }
         assertThat(node.hasFailedFromOverload()).isFalse();
         assertThat(node.coldBudgetUsed()).isBetween(0.9, 1.0);
-        node.offer(job("last", 1, 500 * MS));
+        node.offer(job("last", 1, 500 * MILLISECOND));
         assertThat(node.hasFailedFromOverload()).isTrue();
         assertThat(node.isUp()).isFalse();
         node.restart();
         assertThat(node.isUp()).isFalse();
-        assertThat(words).filteredOn(w -> w.contains("lost")).hasSize(22);
+        assertThat(callbacks).filteredOn(w -> w.contains("lost")).hasSize(22);
     }
 
     @Test
     void aWarmNodeMayBePushedHard() {
         WorkerModel node = node(4, 1, 1000, false);
         for (int k = 0; k < 100; k++) {
-            node.offer(job("j" + k, 1, 500 * MS));
+            node.offer(job("j" + k, 1, 500 * MILLISECOND));
         }
         assertThat(node.hasFailedFromOverload()).isFalse();
         assertThat(node.jobCount()).isEqualTo(100);
