--- a/src/main/java/barrowshore/baseline/BaselineDispatcher.java
+++ b/src/main/java/barrowshore/baseline/BaselineDispatcher.java
@@ -10,13 +10,13 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Textbook policies behind the module's own interface, to measure the module against: each chooses a worker by one plain
- * rule. They own the books that such a policy keeps, keep every rule of the platform (who may repeat what, drains, slow
- * starts), and send again what may go again; they never turn a job down that has a worker to go to. They must never be
- * put in service, nor lean on anything that the module knows. Pure: time and chance come from the caller.
+ * Textbook policies behind the decision module's interface, as baselines to compare the module with: each chooses a
+ * worker by one simple rule. It owns the state that the policy needs, keeps the platform's rules (repeat safety, drains,
+ * slow start), retries where allowed, and refuses no job that some worker may take. Not for production, and independent of
+ * the module's code. Time and random numbers come from the caller.
  */
 public final class BaselineDispatcher implements DispatchApi {
-    /** The rules by which one is chosen. */
+    /** How a worker is chosen. TRUE_STATE sees the real state of all workers: an upper bound for the others. */
     public enum Policy {
         RANDOM,
         ROUND_ROBIN,
@@ -26,19 +26,19 @@
         TRUE_STATE
     }
 
-    /** A cost of sending a job of so many slots to a worker, of one who sees more than a scheduler does. */
+    /** Cost of sending a job of that many slots to a worker, computed from the worker's true state. */
     public interface OracleCost {
         double cost(String worker, double slots);
     }
 
-    /** Weight of an answer in a worker's mean response time. */
+    /** Weight of a new answer in a worker's moving average of response times. */
     private static final double RESPONSE_TIME_SMOOTHING = 0.2;
-    /** How long a worker that could not be reached gets nothing, in connect time-outs. */
+    /** Mean time for which an unreachable worker is excluded, in connect timeouts. */
     private static final double EXCLUSION_CONNECT_TIMEOUTS = 4;
-    /** A worker's usual slots until a report tells. */
+    /** A worker's assumed slots, where a load report gives only the free ones. */
     private static final double DEFAULT_SLOTS = 4;
 
-    /** What is known of one worker. */
+    /** What the policy knows of one worker; member is null while the worker is not listed. */
     private static final class WorkerState {
         final String id;
         Member member;
@@ -52,7 +52,7 @@
 
     private record SentAttempt(WorkerState worker, long sentAt, double slots) {}
 
-    /** A job that is open, and where it went. */
+    /** An unanswered job and its attempts; neverRan has one entry per attempt. */
     private static final class OpenJob {
         final Request request;
         final JobClass jobClass;
@@ -77,7 +77,7 @@
     private int nextWorker;
     private int nextProbed;
 
-    /** chance: numbers from 0 to 1; sight: for {@link Policy#TRUE_STATE} alone. */
+    /** random: numbers from 0 to 1; oracle: used by {@link Policy#TRUE_STATE} only. */
     public BaselineDispatcher(
             Policy policy, Settings settings, Actions actions, DoubleSupplier random, OracleCost oracle) {
         this.policy = policy;
@@ -140,7 +140,7 @@
         if (job.attempts.size() < settings.maxAttempts && now < job.deadline) {
             List<WorkerState> candidates = new ArrayList<>();
             for (WorkerState worker : workers.values()) {
-                // Slow start: a worker that is cold stands in for so much of a warm one, whatever the rule.
+                // Slow start under any policy: a cold worker is a candidate with the probability of its capacity share.
                 if (isReady(worker)
                         && now >= worker.excludedUntil
                         && maySend(now, job, worker)
@@ -181,7 +181,7 @@
         return candidates.get((int) (random.getAsDouble() * candidates.size()));
     }
 
-    /** The least by a measure; ties go by chance, or every scheduler would choose the same. */
+    /** The candidate with the lowest measure. Ties are broken at random, or all schedulers would choose the same worker. */
     private WorkerState lowest(List<WorkerState> candidates, ToDoubleFunction<WorkerState> measure) {
         WorkerState best = null;
         double lowestCost = 0, ties = 0;
@@ -198,6 +198,7 @@
         return best;
     }
 
+    /** Whether an attempt on this worker keeps the job's repeat safety, given its earlier attempts. */
     private boolean maySend(long now, OpenJob job, WorkerState worker) {
         for (int i = 0; i < job.attempts.size(); i++) {
             SentAttempt earlier = job.attempts.get(i);
@@ -222,6 +223,7 @@
         return true;
     }
 
+    /** Gives the final answer: a refusal if the client may safely repeat the job, else a failure. */
     private void giveUp(OpenJob job) {
         jobs.remove(job.request.id());
         boolean mayRepeat = job.jobClass.safety() == RepeatSafety.SAFE
@@ -261,7 +263,10 @@
         }
     }
 
-    /** What a report tells is taken, whichever figures it has; our own jobs there are in it. */
+    /**
+     * Estimates other schedulers' slots from whichever figures a report has; it includes our own jobs, which are
+     * subtracted.
+     */
     private void recordLoad(WorkerState worker, Load load) {
         if (load == null) {
             return;
--- a/src/main/java/barrowshore/emulate/Attempt.java
+++ b/src/main/java/barrowshore/emulate/Attempt.java
@@ -6,10 +6,10 @@
 import barrowshore.module.DispatchApi.ReportSource;
 import barrowshore.module.DispatchApi.Status;
 
-/** One sending of a request to a machine, over connections that take time and may be cut. */
+/** One attempt to run a request on a node, over connections that take time and may be cut. Owned by its request. */
 final class Attempt implements WorkerModel.Job {
-    /** How long a job that fails runs at most before it does. */
-    private static final long MAX_WORK_BEFORE_FAILURE = 20 * Emulation.MILLISECOND;
+    /** A failing job fails after at most this much work. */
+    private static final long MAX_WORK_BEFORE_FAILURE_MICROS = 20 * Emulation.MILLISECOND;
 
     private final Emulation emulation;
     private final VirtualClock clock;
@@ -20,12 +20,12 @@
     final EmulatedNode node;
     final long sentAt;
     final int incarnation;
-    long arrivedAt;
-    /** Whether its scheduler had been told of the node's last start as it was sent. */
+    long arrivedAtNode;
+    /** Whether the scheduler knew of the node's latest start when it sent the attempt. */
     boolean senderKnewOfRestart;
 
     boolean ended;
-    boolean willFail;
+    boolean fails;
 
     Attempt(Emulation emulation, EmulatedScheduler scheduler, OpenRequest request, int number, EmulatedNode node) {
         this.emulation = emulation;
@@ -38,7 +38,7 @@
         this.node = node;
     }
 
-    /** What has become of it, told once. */
+    /** Ends the attempt and reports its outcome to the module, once; later calls do nothing. */
     void finish(Status status) {
         if (ended) {
             return;
@@ -65,10 +65,10 @@
         request.releaseIfFinished();
     }
 
-    /** Connects and sends. */
+    /** Opens a connection, which takes three one-way trips, and sends the request over it. */
     void connectAndSend() {
         if (!node.isReachableFrom(scheduler)) {
-            // It says nothing: the connection never comes up.
+            // No reply at all: the connect times out.
             runIfPending(EmulatedScheduler.CONNECT_TIMEOUT_MICROS, () -> finish(Status.CONNECT_FAILED));
             return;
         }
@@ -79,22 +79,22 @@
         }
         runIfPending(3 * oneWay, () -> {
             if (scheduler.listedHealth.get(node.id) != Health.READY) {
-                finish(Status.NOT_SENT); // it was told to drain while the connection came up
+                finish(Status.NOT_SENT); // the node was drained or delisted during the connect
                 return;
             }
             senderKnewOfRestart = scheduler.listedStartTimes.getOrDefault(node.id, -1L) == node.startedAt;
-            emulation.report.recordSend(clock.now() - Emulation.START, node.zone, scheduler.zone);
+            emulation.report.recordSend(clock.now() - Emulation.START_MICROS, node.zone, scheduler.zone);
             clock.runAfter(oneWay, () -> {
                 if (node.isReachableFrom(scheduler)) {
-                    arrivedAt = clock.now();
+                    arrivedAtNode = clock.now();
                     emulation.report.loadBalance.recordArrival(node.number, scheduler.number, work() * slots());
                     node.model.offer(this);
-                } // else its bytes wait in vain, and it is never heard of
+                } // else the bytes are lost: no callback, the request times out
             });
         });
     }
 
-    /** Runs it then, unless the attempt has ended or its scheduler has died. */
+    /** Runs the action after a delay, unless by then the attempt has ended or its scheduler has crashed. */
     private void runIfPending(long delay, Runnable action) {
         clock.runAfter(delay, () -> {
             if (scheduler.isIncarnation(incarnation) && !ended) {
@@ -103,7 +103,10 @@
         });
     }
 
-    /** Runs it when it has come back to the scheduler; where the machine is cut off, once it is not. */
+    /**
+     * Runs the action once the message has travelled back to the scheduler; a disconnected node holds it until
+     * reconnected.
+     */
     private void runAtScheduler(Runnable action) {
         if (node.disconnected) {
             node.heldAnswers.add(() -> scheduler.deliverFrom(node.zone, incarnation, action));
@@ -137,12 +140,12 @@
 
     @Override
     public double work() {
-        return willFail ? Math.min(MAX_WORK_BEFORE_FAILURE, request.job.work) : request.job.work;
+        return fails ? Math.min(MAX_WORK_BEFORE_FAILURE_MICROS, request.job.work) : request.job.work;
     }
 
     @Override
     public void started() {
-        request.job.recordStart(node, arrivedAt, request);
+        request.job.recordStart(node, arrivedAtNode, request);
         if (scheduler.settings().notesStart) {
             sendNote(Note.STARTED, 0);
         }
@@ -156,9 +159,9 @@
     @Override
     public void done() {
         if (request.answered || !scheduler.isIncarnation(incarnation)) {
-            emulation.report.recordWastedWork(request.job.work * request.job.slots); // done for nobody
+            emulation.report.recordWastedWork(request.job.work * request.job.slots); // nobody waits for the result
         }
-        runAtScheduler(() -> finish(willFail ? Status.ERROR : Status.OK));
+        runAtScheduler(() -> finish(fails ? Status.ERROR : Status.OK));
     }
 
     @Override
--- a/src/main/java/barrowshore/emulate/ClientJob.java
+++ b/src/main/java/barrowshore/emulate/ClientJob.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * A job as its client sees it: one thing, however often the client tries. It owns what has become of it: where it was
- * started, and whether it was served.
+ * A job as its client sees it, over all the requests that the client sends for it. It owns the record of where the job was
+ * started and whether it was served.
  */
 final class ClientJob {
     private record Start(EmulatedNode node, long arrivedAt, Object request) {}
@@ -24,7 +24,7 @@
     final int tenant;
     int tryCount;
     boolean served;
-    /** Where it has started, and when it had come there. */
+    /** Each start of the job on a node, with the time of its arrival there. */
     private final List<Start> starts = new ArrayList<>(1);
 
     ClientJob(Emulation emulation, int classIndex, int zone, double slots, double work, double workHint, int tenant) {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * It started on a node. A second start breaks a rule unless its class is safe, or the node drops repeats. A keyed
-     * job that a client sends again is another request: schedulers are not told when the key was first used.
+     * Records a start on a node. A second start violates a rule unless the class is safe to repeat or the node deduplicates.
+     * Starts of a keyed job for different requests never count: schedulers are not told when its key was first used.
      */
     void recordStart(EmulatedNode node, long arrivedAt, Object request) {
         for (Start earlier : starts) {
@@ -58,7 +58,7 @@
         starts.add(new Start(node, arrivedAt, request));
     }
 
-    /** A client knows how long nodes remember its key. */
+    /** Whether a keyed job would end within the time for which nodes remember its key; other jobs always may. */
     boolean mayRetry(long delay) {
         return jobClass.repeatSafety() != RepeatSafety.KEYED
                 || starts.stream()
@@ -66,13 +66,13 @@
                                 < jobClass.repeatWindowMicros());
     }
 
-    /** What it pays: its class's worth, for each unit of work where the site counts so. */
+    /** Its class's worth, scaled by the job's work where the deployment counts worth by work. */
     double worth() {
         return jobClass.worth()
                 * (emulation.deployment.charges().worthByWork() ? work * slots / jobClass.meanWork() : 1);
     }
 
-    /** Whether an answer now comes within what its class aims at. */
+    /** Whether an answer now meets its class's target time. */
     boolean isInTime() {
         return emulation.clock.now() - createdAt <= jobClass.targetMicros() + jobClass.targetStretch() * work;
     }
--- a/src/main/java/barrowshore/emulate/Clients.java
+++ b/src/main/java/barrowshore/emulate/Clients.java
@@ -3,10 +3,10 @@
 import barrowshore.emulate.Deployment.ClassSpec;
 import java.util.List;
 
-/** All clients: they come at the day's rate, pick a scheduler of their zone, and try again after a refusal or a failure. */
+/** All clients: they send jobs at a given rate to a random scheduler of their zone, and retry refused or failed ones. */
 final class Clients {
     private static final int TENANT_COUNT = 7;
-    /** The sizes that jobs have, by the columns of a class's shares. */
+    /** Slots of a job, by the index into its class's slotShares. */
     private static final double[] SLOTS_BY_COLUMN = {1, 2, 4};
 
     private final Emulation emulation;
@@ -15,7 +15,6 @@
     private final Scenario scenario;
     private final Deployment deployment;
     private final List<ClassSpec> classes;
-    /** Arrivals in a microsecond. */
     private final double arrivalsPerMicro;
 
     private double burstFactor = 1;
@@ -30,15 +29,15 @@
         this.arrivalsPerMicro = arrivalsPerMicro;
     }
 
-    /** So many times as many come, for that long. */
+    /** Multiplies the arrival rate by a factor for a while. */
     void startBurst(double factor, long duration) {
         burstFactor *= factor;
         clock.runAfter(duration, () -> burstFactor /= factor);
     }
 
-    /** The arrival that is due, and so on until the day ends. */
+    /** Creates one job and schedules the next arrival, until the scenario ends. */
     void nextArrival() {
-        if (clock.now() >= Emulation.START + scenario.lengthMicros()) {
+        if (clock.now() >= Emulation.START_MICROS + scenario.lengthMicros()) {
             return;
         }
         createJob();
@@ -83,7 +82,7 @@
                 workHint,
                 random.clients.nextInt(TENANT_COUNT));
         emulation.report.recordOffered(
-                clock.now() - Emulation.START, job.zone, job.classIndex, job.worth(), job.work * job.slots);
+                clock.now() - Emulation.START_MICROS, job.zone, job.classIndex, job.worth(), job.work * job.slots);
         send(job);
     }
 
@@ -93,13 +92,13 @@
                 emulation.schedulers.stream().filter(s -> s.zone == job.zone).toList();
         EmulatedScheduler scheduler = candidates.get(random.other.nextInt(candidates.size()));
         if (!scheduler.isUp()) {
-            retry(job, 0); // nobody there: the front has not noticed yet
+            retry(job, 0); // the front-end load balancer has not noticed the crash yet
             return;
         }
         scheduler.accept(job);
     }
 
-    /** The client tries again no sooner than that, unless it has tried often enough or may not. */
+    /** Retries after at least a delay, unless retries are used up or a repeat would not be safe. */
     void retry(ClientJob job, long minDelay) {
         long delay = Math.max(minDelay, random.delayMicros(6, 48));
         if (job.tryCount <= scenario.retries() && job.mayRetry(delay)) {
--- a/src/main/java/barrowshore/emulate/Deployment.java
+++ b/src/main/java/barrowshore/emulate/Deployment.java
@@ -10,9 +10,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A deployment: what its clients ask for, what its machines are, and what its platform tells, allows and charges. It owns
- * these figures and how a legal deployment is drawn by a seed; it must never look at the module, so that what is drawn
- * does not lean on what is served well. Times in microseconds unless named otherwise.
+ * A deployment: its job classes, machines, and what its platform reports, permits and charges. It owns these figures and the
+ * drawing of a valid random deployment. It must not depend on the module, or the draws could favour what the module does
+ * well. Times are in microseconds.
  */
 public record Deployment(
         String name,
@@ -25,14 +25,14 @@
         Latency latency) {
     private static final long MILLISECOND = 1_000, SECOND = 1_000_000;
 
-    /** What a guess at a job's work is worth: not given, near the truth, or without any bearing on it. */
+    /** Hints of a job's work: none, close to the work, or unrelated to it. */
     public enum Hints {
         NONE,
         GOOD,
         MISLEADING
     }
 
-    /** A listed weight: none, the machine's size, or that size lowered by what it holds, some time ago. */
+    /** Weights in service discovery: none, the machine's size, or its size reduced by its load some time ago. */
     public enum Weights {
         NONE,
         FIXED,
@@ -40,8 +40,8 @@
     }
 
     /**
-     * A class: its share of jobs, mean work and its spread (standard deviation over mean), chances of 1, 2 and 4 slots, and
-     * the memory of a job for each slot, of the one unit that a machine has for each.
+     * A job class. share: of all jobs; workVariation: coefficient of variation; slotShares: probabilities of 1, 2 and 4
+     * slots; memoryPerSlot: where a machine has one unit per core.
      */
     public record ClassSpec(
             String name,
@@ -58,7 +58,10 @@
             double[] slotShares,
             double memoryPerSlot) {}
 
-    /** A kind of machine: its share, ranges of a core's speed, cores (0: as the scenario says), work waiting by core. */
+    /**
+     * A kind of machine: its share of machines, ranges of core speed and of queue length per core; cores 0: the
+     * scenario's.
+     */
     public record MachineKind(
             double share,
             double speedFrom,
@@ -68,8 +71,8 @@
             double queuePerCoreTo) {}
 
     /**
-     * What schedulers are told of load, starts and machines; period and delay as ranges, noise a standard deviation;
-     * bySpeed: whether a machine's registered size is its cores by their usual speed, or its cores.
+     * What schedulers learn of load, starts and machines. Period and delay are ranges, noise is a relative standard
+     * deviation; weightsBySpeed: whether a weight is cores times mean speed, or cores.
      */
     public record Visibility(
             ReportSource reportSource,
@@ -86,21 +89,24 @@
             boolean pollsList,
             boolean weightsBySpeed) {}
 
-    /** What the site allows its schedulers: talk to peers, second copies, cancelling, and how many attempts a job. */
+    /** What schedulers may do. hedging: a second attempt while the first is open; maxAttempts: per job. */
     public record Permissions(boolean peerMessages, boolean hedging, boolean cancelling, int maxAttempts) {}
 
-    /** What is certain of a cold machine, and what pushes it over. */
+    /** The least capacity of a cold machine, the longest warm-up, and the load that a cold machine fails from. */
     public record ColdStart(
             double startCapacity, long warmUpMicros, double overloadMultiple, long overloadWindowMicros) {}
 
-    /** Points for each request that crosses once, and for as much work wasted as was asked for; what worth counts by. */
+    /**
+     * Deductions from the score: per cross-zone send and job, and for wasted work relative to offered work. worthByWork:
+     * whether a job's worth scales with its work.
+     */
     public record Charges(double perCrossing, double perWastedShare, boolean worthByWork) {}
 
-    /** One way within a zone and between two, as ranges. */
+    /** Ranges of one-way latency within a zone and between two. */
     public record Latency(long[] withinZoneMicros, long[] betweenZonesMicros) {}
 
-    /** The first site, as its brief has it. */
-    public static final Deployment HOME = new Deployment(
+    /** The first site, with the figures of its specification. */
+    public static final Deployment FIRST_SITE = new Deployment(
             "home",
             List.of(
                     new ClassSpec(
@@ -179,15 +185,15 @@
             new Charges(0.1, 0.3, false),
             new Latency(new long[] {130, 320}, new long[] {420, 780}));
 
-    /** A deployment and a day there. */
+    /** A deployment and a scenario for it. */
     public record DrawnDeployment(Deployment deployment, Scenario scenario) {}
 
-    /** Draws a legal deployment and a day; the same seed gives the same. */
+    /** Draws a valid deployment and a scenario; the same seed gives the same. */
     public static DrawnDeployment draw(long seed) {
         return new Generator(RandomSource.XO_SHI_RO_256_PP.create(seed * 7919 + 17)).draw(seed);
     }
 
-    /** Every machine's mean share of work by its speed and cores, where the scenario has so many cores a machine. */
+    /** Mean over all jobs of work times slots. */
     double meanJobSize() {
         double[] slotsByColumn = {1, 2, 4};
         double mean = 0;
@@ -201,7 +207,7 @@
         return mean;
     }
 
-    /** What is on here, in few words. */
+    /** A one-line summary of the features, for the comparison table. */
     String features() {
         List<String> features = new ArrayList<>();
         features.add("reports "
@@ -230,7 +236,7 @@
         return String.join(", ", features);
     }
 
-    /** One draw, from its own source of chance. */
+    /** Draws one deployment from its own random source; the order of draws is part of the result. */
     private static final class Generator {
         private final UniformRandomProvider random;
 
--- a/src/main/java/barrowshore/emulate/DeploymentComparison.java
+++ b/src/main/java/barrowshore/emulate/DeploymentComparison.java
@@ -18,17 +18,17 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays the module and its rivals on many drawn deployments, each on the same day, and prints where the module loses, worst
- * first, with what is on there. It owns what is printed and written, and judges by worth served in time less deductions,
- * a broken rule making that 0; it must never leave a deployment out.
+ * Runs the module and the baseline policies on many random deployments, each with the same scenario, and prints where the
+ * module does worst, with the features of the deployment. It owns the output and the score: worth served in time less
+ * deductions, or 0 if a rule was violated. It never leaves a deployment out of the averages.
  */
 public final class DeploymentComparison {
-    /** How many deployments are printed by default, and how far behind a rival counts as lost. */
     private static final int PRINTED_DEPLOYMENTS = 20;
 
+    /** A module that trails the best baseline by more than this score is counted as behind. */
     private static final double BEHIND_MARGIN = 0.03;
 
-    /** One deployment: what each made of its day; score 0 where a rule was broken. */
+    /** The scores on one deployment; 0 where a rule was violated. */
     record Result(
             long seed,
             Deployment.DrawnDeployment drawn,
@@ -38,7 +38,7 @@
             return module.violationCount() > 0 ? 0 : module.score();
         }
 
-        /** The best that does not see true state. */
+        /** The best baseline that does not see the true state. */
         BaselineDispatcher.Policy bestBaseline() {
             return baselineScores.entrySet().stream()
                     .filter(e -> e.getKey() != BaselineDispatcher.Policy.TRUE_STATE)
@@ -54,37 +54,37 @@
 
     private DeploymentComparison() {}
 
-    /** Plays so many deployments from a seed on; csv null: nothing is written. */
-    public static void run(PrintStream out, int count, long seed, boolean rivals, Path csv) throws IOException {
+    /** Runs count deployments from a seed on; csv: file for the results, or null. */
+    public static void run(PrintStream out, int count, long seed, boolean withBaselines, Path csv) throws IOException {
         if (count < 1) {
             throw new ConfigException("--deployments must be at least 1");
         }
-        List<Result> rows = play(count, seed, rivals);
-        print(out, rows, rivals);
+        List<Result> rows = play(count, seed, withBaselines);
+        print(out, rows, withBaselines);
         if (count == 1) {
             out.println();
-            out.print(rows.get(0).module.table()); // one alone is looked at closely
+            out.print(rows.get(0).module.table()); // details only for a single deployment
         }
         if (csv != null) {
             write(csv, rows);
         }
     }
 
-    static List<Result> play(int count, long seed, boolean rivals) {
+    static List<Result> play(int count, long seed, boolean withBaselines) {
         return LongStream.range(seed, seed + count)
                 .parallel()
-                .mapToObj(s -> play(s, rivals))
+                .mapToObj(s -> play(s, withBaselines))
                 .toList();
     }
 
-    private static Result play(long seed, boolean rivals) {
+    private static Result play(long seed, boolean withBaselines) {
         Deployment.DrawnDeployment drawn = Deployment.draw(seed);
         Report module = new Emulation(
                         drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::productionModule)
                 .play();
         Map<BaselineDispatcher.Policy, Double> scores = new EnumMap<>(BaselineDispatcher.Policy.class);
         for (BaselineDispatcher.Policy policy :
-                rivals ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
+                withBaselines ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
             Report report = new Emulation(
                             drawn.scenario(),
                             drawn.deployment(),
@@ -107,10 +107,10 @@
                 actions,
                 new SplittableRandom(settings.seed)::nextDouble,
                 (worker, slots) ->
-                        trueState.expectedStartDelay(worker, slots) + meanWork / trueState.speed(worker, slots));
+                        trueState.expectedStartDelay(worker, slots) + meanWork / trueState.slotSpeed(worker, slots));
     }
 
-    private static void print(PrintStream out, List<Result> rows, boolean rivals) {
+    private static void print(PrintStream out, List<Result> rows, boolean withBaselines) {
         int broken =
                 (int) rows.stream().filter(r -> r.module.violationCount() > 0).count();
         double mean = rows.stream().mapToDouble(Result::score).average().orElse(0);
@@ -121,7 +121,7 @@
                 rows.get(0).seed,
                 mean,
                 broken);
-        if (rivals) {
+        if (withBaselines) {
             long ahead = rows.stream().filter(r -> r.lead() >= 0).count();
             long behind = rows.stream().filter(r -> r.lead() < -BEHIND_MARGIN).count();
             out.printf(
@@ -145,9 +145,9 @@
         }
         out.printf(
                 "%n%-6s %7s %7s %-20s %7s %s  %s%n",
-                "seed", "module", "lead", rivals ? "against" : "", "sighted", "rules", "what is on");
+                "seed", "module", "lead", withBaselines ? "against" : "", "sighted", "rules", "what is on");
         rows.stream()
-                .sorted(Comparator.comparingDouble(rivals ? Result::lead : Result::score))
+                .sorted(Comparator.comparingDouble(withBaselines ? Result::lead : Result::score))
                 .limit(PRINTED_DEPLOYMENTS)
                 .forEach(r -> out.printf(
                         Locale.ROOT,
@@ -155,13 +155,13 @@
                         r.seed,
                         r.score(),
                         r.lead(),
-                        rivals ? displayName(r.bestBaseline()) : "",
-                        rivals ? r.baselineScores.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
+                        withBaselines ? displayName(r.bestBaseline()) : "",
+                        withBaselines ? r.baselineScores.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
                         r.module.violations(),
                         describe(r)));
     }
 
-    /** What the module's lead is where a feature is on: the feature that costs most comes first. */
+    /** Prints the module's mean lead for each feature, lowest first. */
     private static void printLeadByFeature(PrintStream out, List<Result> rows) {
         Map<String, List<Double>> leads = new TreeMap<>();
         for (Result result : rows) {
--- a/src/main/java/barrowshore/emulate/EmulatedNode.java
+++ b/src/main/java/barrowshore/emulate/EmulatedNode.java
@@ -9,14 +9,13 @@
 import java.util.List;
 
 /**
- * One machine of the emulated world: its model, and what the list and load reports tell of it, late and with noise. It owns
- * what is true of the machine; schedulers see none of that but what is told.
+ * One emulated node: its worker model, and what service discovery and load reports say of it, late and with noise. It owns
+ * the node's true state, which schedulers see only through those.
  */
 final class EmulatedNode {
-    /** Machines in a cell. */
     private static final int NODES_PER_CELL = 4;
-    /** How long a machine that is drained may go on. */
-    private static final long MAX_DRAIN_TIME = 15 * Emulation.SECOND;
+    /** A draining node is stopped after this time. */
+    private static final long MAX_DRAIN_MICROS = 15 * Emulation.SECOND;
 
     private final Emulation emulation;
     private final VirtualClock clock;
@@ -27,7 +26,7 @@
     final int zone;
     final int kind;
     final int number;
-    /** Cells are a few machines each, within a zone. */
+    /** Consecutive nodes share a cell. */
     final int cell;
 
     final WorkerModel model;
@@ -36,11 +35,11 @@
     boolean replaced;
     Health health = Health.READY;
     long startedAt;
-    /** What it has to say while it is cut off; it says it when it is back. */
+    /** Answers produced while disconnected; they are sent once it is connected again. */
     final List<Runnable> heldAnswers = new ArrayList<>();
-    /** As its load was last reported; null: not yet, or such reports tell nothing. */
+    /** Latest published load report; null: none yet. */
     Load reportedLoad;
-    /** The weight that the list tells of it. */
+    /** Weight in service discovery. */
     double weight;
 
     EmulatedNode(Emulation emulation, String id, int number, int zone, int kind, WorkerModel.Spec spec) {
@@ -72,25 +71,25 @@
         clock.runAfter((long) (random.faults.nextDouble() * period), () -> reportLoad(period, delay));
     }
 
-    /** Its load as it is now comes to be known a while later, and so does a weight that follows it. */
-    private void reportLoad(long period, long delay) {
+    /** Publishes the present load, and a live weight, after the reporting delay; repeats every period. */
+    private void reportLoad(long periodMicros, long delayMicros) {
         Deployment.Visibility visibility = deployment.visibility();
         Load load = new Load(
                 visibility.reportsInFlight() ? withNoise(model.jobCount()) : Double.NaN,
                 visibility.reportsQueue() ? withNoise(model.waitingJobs()) : Double.NaN,
                 visibility.reportsFreeSlots() ? withNoise(model.freeSlots()) : Double.NaN);
-        clock.runAfter(delay, () -> reportedLoad = load);
+        clock.runAfter(delayMicros, () -> reportedLoad = load);
         if (visibility.weights() == Deployment.Weights.LIVE) {
             weight = registeredSize()
                     / (1 + model.jobCount() / (double) model.spec().cores());
-            publish(health, delay);
+            publish(health, delayMicros);
         }
         if (clock.now() < emulation.endTime()) {
-            clock.runAfter(period, () -> reportLoad(period, delay));
+            clock.runAfter(periodMicros, () -> reportLoad(periodMicros, delayMicros));
         }
     }
 
-    /** What is registered of it: its cores, by their usual speed where the site counts so. */
+    /** Its registered weight: its cores, times the mean speed of its kind where the deployment weights by speed. */
     private double registeredSize() {
         Deployment.MachineKind machine = deployment.machines().get(kind);
         return deployment.visibility().weights() == Deployment.Weights.NONE
@@ -111,7 +110,7 @@
         return new LoadBalanceStats.NodeSample(usable ? model.capacity() : 0, model.freeSlots(), model.waitingSlots());
     }
 
-    /** Its line of the list. */
+    /** Its entry in service discovery. */
     Member listEntry() {
         return new Member(id, health, weight, cell, kind, zone, startedAt);
     }
@@ -120,7 +119,7 @@
         return !disconnected && !scheduler.cutFrom.contains(zone);
     }
 
-    /** The list hears of it late, each scheduler a little apart. */
+    /** Announces a health through service discovery after a delay, to each scheduler at a slightly different time. */
     void publish(Health newHealth, long delay) {
         health = newHealth;
         Member entry = listEntry();
@@ -129,6 +128,7 @@
         }
     }
 
+    /** Cuts the network; service discovery notices later. */
     void disconnect() {
         disconnected = true;
         long delay = random.delayMicros(5200, 12000);
@@ -139,6 +139,7 @@
         });
     }
 
+    /** Restores the network: held answers are sent and the node is listed again. */
     void reconnect() {
         disconnected = false;
         List<Runnable> answers = List.copyOf(heldAnswers);
@@ -158,7 +159,7 @@
     void drain() {
         model.setDraining(true);
         publish(Health.DRAINING, random.delayMicros(260, 1800));
-        clock.runAfter(MAX_DRAIN_TIME, () -> {
+        clock.runAfter(MAX_DRAIN_MICROS, () -> {
             if (health == Health.DRAINING) {
                 crash(random.delayMicros(260, 1800));
             }
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -20,13 +20,13 @@
 import java.util.Set;
 
 /**
- * One scheduler of the emulated world: a real decision module, and the books that a scheduler on sockets keeps round it. It
- * owns the module's life: what is on its way to one that has died is never heard of.
+ * One emulated scheduler: a real decision module, and the state that a real scheduler keeps around it. It owns the module's
+ * life cycle; messages on their way to a module that has crashed are lost.
  */
 final class EmulatedScheduler implements DispatchApi.Actions {
     static final long CONNECT_TIMEOUT_MICROS = 250 * Emulation.MILLISECOND;
     private static final long PROBE_TIMEOUT_MICROS = 400 * Emulation.MILLISECOND;
-    /** An answer must have left that long before a client's deadline. */
+    /** A request expires this long before the client's deadline, so that the answer arrives in time. */
     private static final long ANSWER_MARGIN_MICROS = 25 * Emulation.MILLISECOND;
 
     private final Emulation emulation;
@@ -65,7 +65,7 @@
         heldMessages = new List[scenario.zones().size()];
     }
 
-    /** A process starts: a new module, which is told the whole list. */
+    /** Starts the process with a new module, which gets the whole list of nodes. */
     void start() {
         settings = newSettings();
         sampledHallStates = List.of();
@@ -125,7 +125,7 @@
         return moduleSettings;
     }
 
-    /** Whether it is there, with a module. */
+    /** Whether its process is running. */
     boolean isUp() {
         return module != null;
     }
@@ -138,12 +138,12 @@
         return settings;
     }
 
-    /** How many times it has died. */
+    /** Number of crashes so far; identifies one life of the process. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Whether it has not died since that life. */
+    /** Whether it has not crashed since that incarnation. */
     boolean isIncarnation(int earlier) {
         return earlier == incarnation;
     }
@@ -161,7 +161,7 @@
                         .toList());
     }
 
-    /** The process dies, and all that it knew with it. */
+    /** Ends the process; all its state is lost. */
     void crash() {
         module = null;
         incarnation++;
@@ -169,7 +169,7 @@
         Arrays.fill(outstandingSlots, 0);
     }
 
-    /** An entry of the list, or the whole of it, has come. */
+    /** Receives entries of the node list, or the whole of it. */
     void updateList(ListKind kind, List<Member> entries) {
         if (module != null) {
             entries.forEach(e -> {
@@ -180,7 +180,10 @@
         }
     }
 
-    /** Runs it when it has come over from a zone, or once that can be reached again. */
+    /**
+     * Runs an action one latency later, as a message from a zone; held while the zone is cut off, dropped if the scheduler
+     * has crashed since incarnation sentIn.
+     */
     void deliverFrom(int fromZone, int sentIn, Runnable action) {
         clock.runAfter(random.oneWayMicros(fromZone, zone), () -> {
             if (!isIncarnation(sentIn)) {
@@ -195,7 +198,7 @@
         });
     }
 
-    /** What was on its way from a zone comes at last. */
+    /** Delivers the messages held while a zone was cut off. */
     void deliverHeld(int fromZone) {
         List<Runnable> messages = heldMessages[fromZone];
         heldMessages[fromZone] = null;
@@ -209,7 +212,7 @@
         }
     }
 
-    /** A client's request has come. */
+    /** Accepts a client's request and passes it to the module. */
     void accept(ClientJob job) {
         long deadline = clock.now() + classes.get(job.classIndex).deadlineMicros() - ANSWER_MARGIN_MICROS;
         OpenRequest request = new OpenRequest(emulation, this, job, emulation.nextRequestId(), deadline);
@@ -232,7 +235,7 @@
                 new Request(request.id, job.classIndex, -1, job.slots, job.workHint, request.deadline - clock.now()));
     }
 
-    // What the module orders.
+    // The module's actions.
 
     @Override
     public void send(String id, String worker, long timeout) {
@@ -247,7 +250,7 @@
                         ? 1
                         : 0;
         Attempt attempt = new Attempt(emulation, this, request, request.attempts.size(), node);
-        attempt.willFail = random.other.nextDouble() < node.errorShare;
+        attempt.fails = random.other.nextDouble() < node.errorShare;
         request.attempts.add(attempt);
         request.outstanding++;
         outstandingSlots[node.zone] += request.job.slots;
@@ -255,7 +258,7 @@
                 ? HallState.SERVING
                 : module.hallStates().get(node.zone);
         report.recordChoice(
-                clock.now() - Emulation.START,
+                clock.now() - Emulation.START_MICROS,
                 node.zone,
                 hallState == HallState.DARK || hallState == HallState.RETURNING);
         attempt.connectAndSend();
@@ -265,8 +268,8 @@
     public void refuse(String id, long retryAfter) {
         OpenRequest request = requests.get(id);
         if (request != null) {
-            boolean mayHaveRun = request.attempts.stream().anyMatch(a -> !a.ended);
-            report.refusalsWithOpenAttempts += mayHaveRun ? 1 : 0;
+            boolean attemptOpen = request.attempts.stream().anyMatch(a -> !a.ended);
+            report.refusalsWithOpenAttempts += attemptOpen ? 1 : 0;
             request.answer(Status.FULL, retryAfter);
         }
     }
@@ -346,7 +349,7 @@
 
     @Override
     public void watchList() {
-        // A service that is asked may be behind: then it says so, and is to be asked again.
+        // Service discovery may be out of date: then it answers with an error, and the module asks again.
         int askedIn = incarnation;
         boolean isStale = random.other.nextDouble() < 0.2;
         clock.runAfter(random.delayMicros(5, 60), () -> {
@@ -360,6 +363,6 @@
 
     @Override
     public void log(String line) {
-        report.log(clock.now() - Emulation.START, number, line);
+        report.log(clock.now() - Emulation.START_MICROS, number, line);
     }
 }
--- a/src/main/java/barrowshore/emulate/Emulation.java
+++ b/src/main/java/barrowshore/emulate/Emulation.java
@@ -11,21 +11,21 @@
 import java.util.Map;
 
 /**
- * One emulated day: real decision modules against models of machines, with zones, delays, a late list, lossy messages
- * between schedulers, and clients with deadlines and retries. It owns the world's truth, which the modules never see: the
- * clock, the machines, the schedulers and the clients. It must never decide anything for them, nor draw a random number
- * outside {@link RandomSources}, so that one seed gives one run.
+ * One emulated run: real decision modules against worker models, with zones, latencies, delayed service discovery, lossy
+ * peer messages, and clients with deadlines and retries. It owns the true state, which modules never see: clock, nodes,
+ * schedulers and clients. It takes no decisions for them, and draws random numbers from {@link RandomSources} only, so
+ * that a seed determines the run.
  */
 final class Emulation {
-    /** A millisecond and a second of its clock. */
+    /** In microseconds of the clock. */
     static final long MILLISECOND = 1_000, SECOND = 1_000_000;
-    /** When a run begins, on its own clock: late enough that 0 means long ago. */
-    static final long START = 1_000 * SECOND;
+    /** Clock time at which a run starts: large enough for 0 to mean long ago. */
+    static final long START_MICROS = 1_000 * SECOND;
 
-    /** Time after the last arrival until all is answered. */
-    private static final long TIME_AFTER_LAST_ARRIVAL = 16 * SECOND;
+    /** The run continues this long after the last arrival, so that every request is answered. */
+    private static final long MICROS_AFTER_LAST_ARRIVAL = 16 * SECOND;
 
-    final VirtualClock clock = new VirtualClock(START);
+    final VirtualClock clock = new VirtualClock(START_MICROS);
     final Scenario scenario;
     final Deployment deployment;
     final OperatorSettings operator;
@@ -35,24 +35,24 @@
     final List<EmulatedNode> nodes = new ArrayList<>();
     final List<EmulatedScheduler> schedulers = new ArrayList<>();
     final Clients clients;
-    /** Work times slots of the mean job. */
+    /** Mean over all jobs of work times slots. */
     final double meanJobSize;
 
     private final Map<String, EmulatedNode> nodesById = new HashMap<>();
     private int requestCount;
 
-    /** What makes a scheduler's module: its settings, what carries out its orders, and a look at the truth. */
+    /** Creates a scheduler's decision module. trueState: for baselines that may see it. */
     interface ModuleFactory {
         DispatchApi create(Settings settings, DispatchApi.Actions actions, TrueState trueState);
     }
 
-    /** The state that no real scheduler sees, for a rival that shows how far sight would help. */
+    /** True state of nodes, which no real scheduler sees: for a baseline that shows how much knowing it would help. */
     interface TrueState {
-        /** Expected microseconds until a job of so many slots that is sent now would start there; endless if never. */
+        /** Expected microseconds until a job sent now would start there; infinite if it would not. */
         double expectedStartDelay(String worker, double slots);
 
-        /** How fast it runs a job, against speed 1. */
-        double speed(String worker, double slots);
+        /** Speed at which it would run a job, reduced by its share of errors. */
+        double slotSpeed(String worker, double slots);
     }
 
     Emulation(
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Adds a machine, which no list tells of yet. */
+    /** Adds a node without announcing it in service discovery. */
     EmulatedNode addNode(String id, int zone, int kind, WorkerModel.Spec spec) {
         EmulatedNode node = new EmulatedNode(this, id, nodes.size(), zone, kind, spec);
         nodesById.put(id, node);
@@ -101,23 +101,23 @@
         return nodesById.get(id);
     }
 
-    /** An id that no request has had. */
+    /** A new unique request id. */
     String nextRequestId() {
         return "f" + ++requestCount;
     }
 
-    /** When all is over, on the run's clock. */
+    /** Clock time at which the run ends. */
     long endTime() {
-        return START + scenario.lengthMicros() + TIME_AFTER_LAST_ARRIVAL;
+        return START_MICROS + scenario.lengthMicros() + MICROS_AFTER_LAST_ARRIVAL;
     }
 
-    /** Plays the day and returns what came of it. */
+    /** Runs the scenario and returns its results. */
     Report play() {
         schedulers.forEach(EmulatedScheduler::start);
         scenario.events().forEach(new FaultInjector(this)::schedule);
-        // A client's first second has its own clock: schedulers have started by then.
+        // Clients start a second later, when the schedulers have started.
         clock.runAfter(SECOND, clients::nextArrival);
-        for (long t = 0; t < scenario.lengthMicros() + TIME_AFTER_LAST_ARRIVAL; t += 100 * MILLISECOND) {
+        for (long t = 0; t < scenario.lengthMicros() + MICROS_AFTER_LAST_ARRIVAL; t += 100 * MILLISECOND) {
             clock.runAfter(t, this::sample);
         }
         clock.runUntil(endTime());
@@ -128,7 +128,7 @@
         return report;
     }
 
-    /** Looks at the truth, for the report alone. */
+    /** Samples the true state for the report. */
     private void sample() {
         report.loadBalance.addSample(nodes.stream().map(EmulatedNode::sample).toList(), schedulers.size());
         int zones = scenario.zones().size();
@@ -146,7 +146,11 @@
                 List<HallState> hallStates = s.module().hallStates();
                 if (!hallStates.equals(s.sampledHallStates)) {
                     report.recordHallStates(
-                            clock.now() - START, s.number, s.sampledHallStates, hallStates, scenario.zoneNames());
+                            clock.now() - START_MICROS,
+                            s.number,
+                            s.sampledHallStates,
+                            hallStates,
+                            scenario.zoneNames());
                     s.sampledHallStates = hallStates;
                 }
             }
@@ -156,7 +160,7 @@
         }
     }
 
-    /** The truth as it is from a zone. */
+    /** True state as seen from a zone: latencies depend on it. */
     TrueState trueState(int zone) {
         return new TrueState() {
             @Override
@@ -165,17 +169,17 @@
                 if (!n.model.isUp() || n.disconnected || n.model.isHung()) {
                     return Double.POSITIVE_INFINITY;
                 }
-                double over = Math.max(
+                double slotsAhead = Math.max(
                         0,
                         n.model.occupiedAndWaitingSlots()
                                 + slots
                                 - n.model.spec().cores());
-                return over / n.model.spec().cores() * meanJobSize / n.model.pace()
+                return slotsAhead / n.model.spec().cores() * meanJobSize / n.model.pace()
                         + 2 * random.oneWayMicros(zone, n.zone);
             }
 
             @Override
-            public double speed(String worker, double slots) {
+            public double slotSpeed(String worker, double slots) {
                 return nodesById.get(worker).model.pace() * (1 - nodesById.get(worker).errorShare);
             }
         };
--- a/src/main/java/barrowshore/emulate/Emulator.java
+++ b/src/main/java/barrowshore/emulate/Emulator.java
@@ -6,19 +6,19 @@
 import barrowshore.module.IndexTableCache;
 import barrowshore.operator.OperatorSettings;
 
-/** The way in: one scenario, one seed, one report. The same arguments always give the same report. */
+/** Entry point: runs one scenario with one seed. The same arguments always give the same report. */
 public final class Emulator {
-    /** Pure figures, the same for all: worked out once for each thread that plays. */
+    /** Pure results that all runs share: computed once per thread. */
     private static final ThreadLocal<IndexTableCache> INDEX_TABLES = ThreadLocal.withInitial(IndexTableCache::new);
 
     private Emulator() {}
 
-    /** Plays a scenario at the first site with the operators' settings. */
+    /** Runs a scenario on the first site's deployment with the operators' settings. */
     public static Report play(Scenario scenario, OperatorSettings operator, long seed) {
-        return new Emulation(scenario, Deployment.HOME, operator, seed, Emulator::productionModule).play();
+        return new Emulation(scenario, Deployment.FIRST_SITE, operator, seed, Emulator::productionModule).play();
     }
 
-    /** The module that is in service. */
+    /** Creates the production module. */
     static DispatchApi productionModule(Settings settings, DispatchApi.Actions actions, Emulation.TrueState trueState) {
         return new Dispatcher(settings, actions, INDEX_TABLES.get());
     }
--- a/src/main/java/barrowshore/emulate/FaultInjector.java
+++ b/src/main/java/barrowshore/emulate/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a scenario has happen: to machines, schedulers and the connections between them, and to how many clients come. */
+/** Applies a scenario's events to nodes, schedulers, the network and the arrival rate. */
 final class FaultInjector {
     private final Emulation emulation;
     private final VirtualClock clock;
@@ -19,20 +19,20 @@
         this.random = emulation.random;
     }
 
-    /** Has it happen when it is due. */
+    /** Schedules an event, and its end, on the clock. */
     void schedule(Scenario.ScenarioEvent event) {
-        clock.runAt(Emulation.START + event.at(), () -> {
+        clock.runAt(Emulation.START_MICROS + event.startMicros(), () -> {
             switch (event.type()) {
-                case BURST -> emulation.clients.startBurst(event.factor(), event.duration());
+                case BURST -> emulation.clients.startBurst(event.factor(), event.durationMicros());
                 case RESTART -> {
                     EmulatedScheduler scheduler = emulation.schedulers.get(event.scheduler());
                     scheduler.crash();
-                    clock.runAfter(event.duration(), scheduler::start);
+                    clock.runAfter(event.durationMicros(), scheduler::start);
                 }
                 case CUT -> {
                     EmulatedScheduler scheduler = emulation.schedulers.get(event.scheduler());
                     scheduler.cutFrom.add(event.zone());
-                    clock.runAfter(event.duration(), () -> {
+                    clock.runAfter(event.durationMicros(), () -> {
                         scheduler.cutFrom.remove(event.zone());
                         scheduler.deliverHeld(event.zone());
                     });
@@ -47,7 +47,7 @@
         });
     }
 
-    /** What befalls a part of a zone's machines, of which some come back. */
+    /** Applies an event to a share of a zone's nodes, and ends it for those that return. */
     private void applyToNodes(Scenario.ScenarioEvent event) {
         List<EmulatedNode> candidates = emulation.nodes.stream()
                 .filter(node -> node.zone == event.zone() && !node.replaced)
@@ -58,15 +58,16 @@
                 || event.type() == Scenario.EventType.CRASH
                 || event.type() == Scenario.EventType.RENEW) {
             emulation.report.recordOutage(
-                    event.zone(), clock.now() - Emulation.START, event.duration(), event.nodeShare());
+                    event.zone(), clock.now() - Emulation.START_MICROS, event.durationMicros(), event.nodeShare());
         }
         for (int k = 0; k < count; k++) {
             EmulatedNode node = candidates.get(k);
             boolean returns = k < returning;
-            long spread = event.spread();
+            long spread = event.spreadMicros();
             clock.runAfter((long) (random.faults.nextDouble() * spread), () -> begin(event, node));
             if (returns) {
-                clock.runAfter(event.duration() + (long) (random.faults.nextDouble() * spread), () -> end(event, node));
+                clock.runAfter(
+                        event.durationMicros() + (long) (random.faults.nextDouble() * spread), () -> end(event, node));
             }
         }
     }
@@ -79,7 +80,7 @@
             case UNLIST -> node.publish(Health.GONE, random.delayMicros(260, 1800));
             case HANG -> node.model.setHung(true);
             case SLOW -> node.model.setSlowdown(event.factor());
-            default -> throw new IllegalStateException("nothing begins with " + event.type());
+            default -> throw new IllegalStateException("cannot begin at a node: event type " + event.type());
         }
     }
 
@@ -99,13 +100,16 @@
             case UNLIST -> node.publish(Health.READY, random.delayMicros(260, 1800));
             case HANG -> node.model.setHung(false);
             case SLOW -> node.model.setSlowdown(1);
-            default -> throw new IllegalStateException("nothing ends with " + event.type());
+            default -> throw new IllegalStateException("cannot end at a node: event type " + event.type());
         }
     }
 
-    /** One trouble of a single node or a few, as seen in service (8.2 to 8.5). */
+    /**
+     * Injects one fault into a few random nodes, with the ranges seen in production (site brief, 8.2 to 8.5). kind 0:
+     * slowdown; 1: hang; 2: errors; 3: lost capacity.
+     */
     private void injectRandomFault(Scenario.ScenarioEvent event) {
-        clock.runAfter((long) (random.faults.nextDouble() * event.duration() / 2), () -> {
+        clock.runAfter((long) (random.faults.nextDouble() * event.durationMicros() / 2), () -> {
             int count = emulation.nodes.size();
             int kind = random.faults.nextInt(4);
             double share =
--- a/src/main/java/barrowshore/emulate/LoadBalanceStats.java
+++ b/src/main/java/barrowshore/emulate/LoadBalanceStats.java
@@ -7,20 +7,19 @@
 import java.util.SplittableRandom;
 
 /**
- * How evenly schedulers spread work over nodes, counted from what really comes to them and waits there: the spread of what
- * is offered for each unit of capacity, slots that are free while work waits elsewhere, and how many schedulers go to one
- * node at once, beside what chance alone would give. It owns these counts, and judges nothing.
+ * Measures how evenly schedulers spread work over nodes, from true arrivals and queues: the variation of offered work per
+ * capacity, slots that are free while jobs wait elsewhere, and how many schedulers send to one node at once, compared with
+ * random sending. It owns these counts.
  */
 final class LoadBalanceStats {
-    /** The short window, in microseconds, and how many of them a long one holds. */
     static final long SHORT_WINDOW_MICROS = 100_000;
 
     private static final int SHORT_WINDOWS_PER_LONG = 10;
 
-    /** What a node has for work at a look: capacity in cores at speed 1 (0: none), free slots, slots of work that waits. */
+    /** A node at one moment: capacity in cores at speed 1 (0: unusable), free slots, slots of waiting jobs. */
     record NodeSample(double capacity, double freeSlots, double waitingSlots) {}
 
-    /** Spreads over the windows of one length: sums of the coefficient of variation and of the most against the mean. */
+    /** Sums, over windows of one length, of the nodes' coefficient of variation and of peak over mean load. */
     private static final class WindowStats {
         double variationSum, peakSum;
         int windowCount;
@@ -57,7 +56,7 @@
 
     private final WindowStats shortWindows = new WindowStats(), longWindows = new WindowStats();
     private final List<BitSet> sendersByNode = new ArrayList<>();
-    /** For what chance would give; its own source, so that counting changes nothing. */
+    /** For random sending; a separate source, so that measuring does not change the run. */
     private final SplittableRandom random = new SplittableRandom(1);
 
     private double[] offeredShort = new double[0], offeredLong = new double[0];
@@ -66,7 +65,7 @@
     private double peakSenders, peakSendersByChance;
     private int crowdingWindowCount;
 
-    /** A scheduler's job of so much work times slots has come to a node. */
+    /** Counts a scheduler's job arriving at a node; slotWork: work times slots. */
     void recordArrival(int node, int scheduler, double slotWork) {
         while (sendersByNode.size() <= node) {
             sendersByNode.add(new BitSet());
@@ -81,20 +80,20 @@
         sendCount++;
     }
 
-    /** A short window is over: how each node stands now; schedulers: how many there are. */
+    /** Ends a short window with the present state of all nodes; schedulers: their number. */
     void addSample(List<NodeSample> nodes, int schedulers) {
         offeredShort = Arrays.copyOf(offeredShort, nodes.size());
         offeredLong = Arrays.copyOf(offeredLong, nodes.size());
         double[] capacity = nodes.stream().mapToDouble(NodeSample::capacity).toArray();
         shortWindows.add(offeredShort, capacity);
         Arrays.fill(offeredShort, 0);
-        double free = 0, waiting = 0;
+        double freeSlots = 0, waitingSlots = 0;
         for (NodeSample node : nodes) {
-            free += node.capacity > 0 ? node.freeSlots : 0;
-            waiting += node.waitingSlots;
+            freeSlots += node.capacity > 0 ? node.freeSlots : 0;
+            waitingSlots += node.waitingSlots;
             nodeSampleCount += node.capacity > 0 ? 1 : 0;
         }
-        idleSlotsWhileQueued += Math.min(free, waiting);
+        idleSlotsWhileQueued += Math.min(freeSlots, waitingSlots);
         if (++sampleCount % SHORT_WINDOWS_PER_LONG == 0) {
             longWindows.add(offeredLong, capacity);
             Arrays.fill(offeredLong, 0);
@@ -102,7 +101,7 @@
         }
     }
 
-    /** The most schedulers that went to one node in a long window, and as many sends thrown at nodes by chance. */
+    /** Adds the most schedulers that sent to one node in a long window, and the same for as many random sends. */
     private void recordCrowding(double[] capacity, int schedulers) {
         int usableNodes = (int) Arrays.stream(capacity).filter(c -> c > 0).count();
         if (sendCount > 0 && usableNodes > 1) {
@@ -125,26 +124,27 @@
         return senders.stream().mapToInt(BitSet::cardinality).max().orElse(0);
     }
 
-    /** Coefficient of variation of what is offered for each unit of capacity, over nodes; mean of windows of 0.1 s. */
-    double variationShort() {
+    /** Coefficient of variation, over nodes, of offered work per capacity; mean over windows of 0.1 s. */
+    double shortWindowVariation() {
         return shortWindows.meanVariation();
     }
 
-    double variationLong() {
+    /** The same over windows of 1 s. */
+    double longWindowVariation() {
         return longWindows.meanVariation();
     }
 
-    /** The most offered to a node against the mean, mean of windows of 1 s. */
-    double peakLong() {
+    /** Highest offered work per capacity of a node, relative to the mean; mean over windows of 1 s. */
+    double longWindowPeak() {
         return longWindows.meanPeak();
     }
 
-    /** Slots free while as much work waits elsewhere, a node, on average. */
+    /** Mean free slots per usable node that jobs waiting elsewhere could have used. */
     double idleWhileOthersQueue() {
         return nodeSampleCount == 0 ? 0 : idleSlotsWhileQueued / nodeSampleCount;
     }
 
-    /** Schedulers at the most crowded node in a second, against chance. */
+    /** Schedulers sending to the most crowded node in 1 s, relative to random sending. */
     double crowding() {
         return peakSendersByChance == 0 ? 0 : peakSenders / peakSendersByChance;
     }
--- a/src/main/java/barrowshore/emulate/OpenRequest.java
+++ b/src/main/java/barrowshore/emulate/OpenRequest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that a scheduler has open, from its arrival to its one final answer. */
+/** A request at a scheduler, from its arrival to its single final answer. It owns its attempts. */
 final class OpenRequest {
     private final EmulatedScheduler scheduler;
     private final Emulation emulation;
@@ -25,7 +25,7 @@
         this.deadline = deadline;
     }
 
-    /** The client's time is up: what is out is given up, and the client is told so. */
+    /** Ends open attempts at the deadline, and answers with a timeout if the module has not answered by then. */
     void expire() {
         if (!answered) {
             for (Attempt attempt : List.copyOf(attempts)) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Its client has closed the connection: nobody waits for an answer, and what is out is called back. */
+    /** The client has closed the connection: no answer is sent, and the module may cancel open attempts. */
     void disconnectClient() {
         if (!answered) {
             answered = true;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The one final answer; OK, FULL for a rejection, ERROR for a failure, TIMEOUT where it was ours. */
+    /** Gives the final answer: OK, FULL for a refusal, ERROR for a failure, TIMEOUT if the module gave none in time. */
     void answer(Status status, long retryAfter) {
         if (answered) {
             emulation.report.duplicateAnswers++;
@@ -60,7 +60,7 @@
             if (!job.served) {
                 job.served = true;
                 emulation.report.recordServed(
-                        job.createdAt - Emulation.START,
+                        job.createdAt - Emulation.START_MICROS,
                         job.zone,
                         job.classIndex,
                         job.worth(),
@@ -68,10 +68,10 @@
                         emulation.clock.now() - job.createdAt);
             }
         } else if (status == Status.FULL) {
-            emulation.report.recordRefusal(job.createdAt - Emulation.START);
+            emulation.report.recordRefusal(job.createdAt - Emulation.START_MICROS);
             emulation.clients.retry(job, emulation.random.other.nextDouble() < 0.9 ? retryAfter : 0);
         } else {
-            emulation.report.recordFailure(job.createdAt - Emulation.START);
+            emulation.report.recordFailure(job.createdAt - Emulation.START_MICROS);
             if (job.jobClass.repeatSafety() == RepeatSafety.SAFE) {
                 emulation.clients.retry(job, 0);
             }
@@ -79,7 +79,7 @@
         releaseIfFinished();
     }
 
-    /** Once it is answered and nothing is out, its scheduler keeps it no longer. */
+    /** Removes the request from its scheduler once it is answered and has no open attempt. */
     void releaseIfFinished() {
         if (answered && outstanding == 0) {
             scheduler.forget(this);
--- a/src/main/java/barrowshore/emulate/RandomSources.java
+++ b/src/main/java/barrowshore/emulate/RandomSources.java
@@ -10,16 +10,16 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The random sources of one run: what clients ask for on the day, what befalls machines, and all the rest (delays, losses,
- * noise), each from its own source, so that the same seed gives the same day and the same faults whatever modules do.
- * Each draw advances its source: the order of calls is part of a run.
+ * The random sources of one run: one each for clients' jobs, for nodes and their faults, and for all else (delays, losses,
+ * noise), so that a seed gives the same jobs and faults whatever the modules do. Each draw advances its source: changing
+ * the order of calls changes the run.
  */
 final class RandomSources {
-    /** What clients ask for, and when. */
+    /** Clients' jobs and their arrival times. */
     final UniformRandomProvider clients;
-    /** What machines are, and what befalls them. */
+    /** Properties of nodes and their faults. */
     final UniformRandomProvider faults;
-    /** Everything else. */
+    /** Everything else: delays, losses, noise, choices of schedulers. */
     final UniformRandomProvider other;
 
     private final Deployment deployment;
@@ -37,19 +37,21 @@
         List<ClassSpec> classes = deployment.classes();
         workByClass = new SharedStateContinuousSampler[classes.size()];
         for (int c = 0; c < workByClass.length; c++) {
-            ClassSpec k = classes.get(c);
-            double sigma = Math.sqrt(Math.log(1 + k.workVariation() * k.workVariation()));
+            ClassSpec jobClass = classes.get(c);
+            double sigma = Math.sqrt(Math.log(1 + jobClass.workVariation() * jobClass.workVariation()));
             workByClass[c] = LogNormalSampler.of(
-                    ZigguratSampler.NormalizedGaussian.of(clients), Math.log(k.meanWork()) - sigma * sigma / 2, sigma);
+                    ZigguratSampler.NormalizedGaussian.of(clients),
+                    Math.log(jobClass.meanWork()) - sigma * sigma / 2,
+                    sigma);
         }
     }
 
-    /** Time between two arrivals, against the mean. */
+    /** Time between two arrivals, relative to its mean. */
     double interarrival() {
         return exponential.sample();
     }
 
-    /** The work of a job of that class, in microseconds at speed 1. */
+    /** Work of a job of that class (an index), in microseconds at speed 1. */
     double work(int jobClass) {
         return workByClass[jobClass].sample();
     }
@@ -59,7 +61,7 @@
         return normal.sample();
     }
 
-    /** Uniform between the two, from what befalls machines. */
+    /** Uniform variate from the source of faults. */
     double faultUniform(double from, double to) {
         return from + (to - from) * faults.nextDouble();
     }
@@ -68,12 +70,12 @@
         return from + (to - from) * other.nextDouble();
     }
 
-    /** A time in microseconds, uniform between two in milliseconds. */
+    /** Uniform delay in microseconds, with the bounds given in milliseconds. */
     long delayMicros(double fromMillis, double toMillis) {
         return (long) (uniform(fromMillis, toMillis) * Emulation.MILLISECOND);
     }
 
-    /** One way between two zones, in microseconds. */
+    /** One-way network latency between two zones. */
     long oneWayMicros(int from, int to) {
         long[] range = from == to
                 ? deployment.latency().withinZoneMicros()
@@ -81,7 +83,7 @@
         return (long) (1 + uniform(range[0], range[1]));
     }
 
-    /** The index of a kind of machine, by the kinds' shares. */
+    /** Index of a machine kind, drawn by the kinds' shares. */
     int machineKind() {
         double pick = faults.nextDouble();
         int kind = 0;
@@ -92,7 +94,7 @@
         return kind;
     }
 
-    /** A machine of a kind; cores: where the kind does not say how many it has. */
+    /** Draws a machine of a kind; usualCores: its cores if the kind does not set them. */
     WorkerModel.Spec machineSpec(Deployment.MachineKind kind, int usualCores) {
         int cores = kind.cores() == 0 ? usualCores : kind.cores();
         double minStartCapacity = deployment.coldStart().startCapacity();
--- a/src/main/java/barrowshore/emulate/Report.java
+++ b/src/main/java/barrowshore/emulate/Report.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What came of an emulated day, counted as it goes. It owns its counters alone, and judges nothing. */
+/** The results of one emulated run, counted as it goes. It owns these counters and their output as table and JSON. */
 public final class Report {
     private static final long SECOND = 1_000_000;
-    /** From a zone's going dark until new work for it counts as a fault. */
-    private static final long DETECTION_TIME = 2 * SECOND;
-    /** Answer times are kept to the hundredth, up to a minute. */
+    /** Sends to a zone count as sends to a dark zone from this long after its outage began. */
+    private static final long DETECTION_MICROS = 2 * SECOND;
+    /** Longest recorded answer time; longer ones count as this. */
     private static final long MAX_ANSWER_MICROS = 60 * SECOND;
 
-    private record ZoneOutage(int zone, long from, long to, double part) {}
+    private record ZoneOutage(int zone, long from, long to, double nodeShare) {}
 
     private final Scenario scenario;
     private final long seed;
@@ -82,30 +82,30 @@
         mostSpillShare = new double[zones];
     }
 
-    void recordOffered(long at, int zone, int type, double worth, double size) {
+    void recordOffered(long at, int zone, int classIndex, double worth, double slotWork) {
         jobCount++;
-        offeredWork += size;
+        offeredWork += slotWork;
         int second = (int) (at / SECOND);
         offeredWorth[second] += worth;
         offeredWorthByZone[zone][second] += worth;
-        offeredWorthByClass[type] += worth;
+        offeredWorthByClass[classIndex] += worth;
     }
 
-    void recordServed(long since, int zone, int type, double worth, boolean inTime, long took) {
-        answerTimes.get(type).recordValue(Math.min(took, MAX_ANSWER_MICROS));
+    void recordServed(long createdAt, int zone, int classIndex, double worth, boolean inTime, long answerMicros) {
+        answerTimes.get(classIndex).recordValue(Math.min(answerMicros, MAX_ANSWER_MICROS));
         if (inTime) {
-            int second = (int) (since / SECOND);
+            int second = (int) (createdAt / SECOND);
             servedWorth[second] += worth;
             servedWorthByZone[zone][second] += worth;
-            servedWorthByClass[type] += worth;
+            servedWorthByClass[classIndex] += worth;
         }
     }
 
-    void recordRefusal(long since) {
+    void recordRefusal(long createdAt) {
         refusals++;
     }
 
-    void recordFailure(long since) {
+    void recordFailure(long createdAt) {
         failures++;
     }
 
@@ -113,15 +113,15 @@
         wastedWork += work;
     }
 
-    void recordSend(long at, int zone, int from) {
+    void recordSend(long at, int zone, int fromZone) {
         sendCount++;
-        crossZoneSends += zone == from ? 0 : 1;
+        crossZoneSends += zone == fromZone ? 0 : 1;
     }
 
-    /** The module chose a node of this zone; trial: it holds the zone for lost, or is trying it. */
+    /** Counts a send to a zone during outages of a whole zone; trial: the module knows that zone to be dark or returning. */
     void recordChoice(long at, int zone, boolean trial) {
         for (ZoneOutage outage : outages) {
-            if (outage.part >= 1 && at >= outage.from + DETECTION_TIME && at < outage.to) {
+            if (outage.nodeShare >= 1 && at >= outage.from + DETECTION_MICROS && at < outage.to) {
                 sendsDuringOutages++;
                 sendsToDark += outage.zone == zone && !trial ? 1 : 0;
                 trialsOfDark += outage.zone == zone && trial ? 1 : 0;
@@ -129,19 +129,19 @@
         }
     }
 
-    /** So many nodes of a zone hang at once, by troubles drawn for each. */
+    /** Notes how many nodes of a zone hang at once through random faults. */
     void recordHung(int zone, long count) {
         mostHungInZone = Math.max(mostHungInZone, count);
     }
 
-    void recordOutage(int zone, long from, long lasts, double part) {
-        outages.add(new ZoneOutage(zone, from, from + lasts, part));
+    void recordOutage(int zone, long from, long duration, double nodeShare) {
+        outages.add(new ZoneOutage(zone, from, from + duration, nodeShare));
     }
 
-    void recordSpill(int zone, double slots, double usable) {
+    void recordSpill(int zone, double slots, double usableSlots) {
         mostSpilledSlots[zone] = Math.max(mostSpilledSlots[zone], slots);
-        if (usable > 0) {
-            mostSpillShare[zone] = Math.max(mostSpillShare[zone], slots / usable);
+        if (usableSlots > 0) {
+            mostSpillShare[zone] = Math.max(mostSpillShare[zone], slots / usableSlots);
         }
     }
 
@@ -174,24 +174,24 @@
         return whole <= 0 ? 1 : part / whole;
     }
 
-    /** Worth asked for in all. */
+    /** Worth of all jobs. */
     double offeredWorth() {
         return Arrays.stream(offeredWorth).sum();
     }
 
-    /** Worth served in time against worth asked for. */
+    /** Share of the offered worth that was served in time. */
     double servedWorthShare() {
         return share(servedWorth, offeredWorth, 0, seconds);
     }
 
-    /** The same less what the operators deduct: for requests that cross zones, and for work wasted. */
+    /** The served share less the deductions for cross-zone sends and wasted work. */
     double score() {
         return servedWorthShare()
                 - charges.perCrossing() * share(crossZoneSends, jobCount)
                 - charges.perWastedShare() * (offeredWork <= 0 ? 0 : wastedWork / offeredWork);
     }
 
-    /** The share served of what was asked for from one second to another. */
+    /** Sum of part over sum of whole between two seconds. */
     private double share(double[] part, double[] whole, int from, int to) {
         double served = 0, wanted = 0;
         for (int k = from; k < Math.min(seconds, to); k++) {
@@ -201,16 +201,16 @@
         return share(served, wanted);
     }
 
-    /** The same in the worst ten seconds. */
+    /** Lowest share of worth served in time over any ten seconds. */
     double worstTenSeconds() {
-        double least = 1;
+        double lowest = 1;
         for (int from = 0; from + 10 < seconds; from++) {
-            least = Math.min(least, share(servedWorth, offeredWorth, from, from + 10));
+            lowest = Math.min(lowest, share(servedWorth, offeredWorth, from, from + 10));
         }
-        return least;
+        return lowest;
     }
 
-    /** The same of the clients that belong to a zone, from one second to another. */
+    /** Share of the worth of a zone's clients that was served in time, between two seconds. */
     double servedShare(int zone, int from, int to) {
         return share(servedWorthByZone[zone], offeredWorthByZone[zone], from, to);
     }
@@ -219,12 +219,12 @@
         return servedShare(zone, 0, seconds);
     }
 
-    /** Of what was chosen later than 2 s after a whole zone went dark: the share that went there, trials apart. */
+    /** Share of the sends later than 2 s into a whole zone's outage that went to that zone, without trials. */
     double darkSendShare() {
         return sendsDuringOutages == 0 ? 0 : (double) sendsToDark / sendsDuringOutages;
     }
 
-    /** The share that were trials of it. */
+    /** Share of those sends that were trials of the dark zone. */
     double darkTrialShare() {
         return sendsDuringOutages == 0 ? 0 : (double) trialsOfDark / sendsDuringOutages;
     }
@@ -249,21 +249,21 @@
         return hallStateChanges;
     }
 
-    /** Which rules were broken, and how often; empty if none was. */
+    /** The violated rules with their counts; empty if none was. */
     String violations() {
-        Map<String, Integer> all = new LinkedHashMap<>();
-        all.put("ran twice", duplicateRuns);
-        all.put("no answer in time", missedDeadlines);
-        all.put("answered twice", duplicateAnswers);
-        all.put("sent after the end", sendsAfterAnswer);
-        all.put("refused while out", refusalsWithOpenAttempts);
-        all.put("not allowed", forbiddenActions);
-        all.put("pushed over", overloadedNodes);
-        all.values().removeIf(count -> count == 0);
-        return all.isEmpty() ? "" : all.toString();
-    }
-
-    /** What must never be: 0 in every run. */
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        counts.put("ran twice", duplicateRuns);
+        counts.put("no answer in time", missedDeadlines);
+        counts.put("answered twice", duplicateAnswers);
+        counts.put("sent after the end", sendsAfterAnswer);
+        counts.put("refused while out", refusalsWithOpenAttempts);
+        counts.put("not allowed", forbiddenActions);
+        counts.put("pushed over", overloadedNodes);
+        counts.values().removeIf(count -> count == 0);
+        return counts.isEmpty() ? "" : counts.toString();
+    }
+
+    /** Number of rule violations; must be 0 in every run. */
     int violationCount() {
         return duplicateRuns
                 + missedDeadlines
@@ -274,74 +274,74 @@
                 + overloadedNodes;
     }
 
-    /** The whole report as JSON's maps and lists; the same run gives the same, in the same order. */
+    /** The whole report as maps and lists for JSON, in a fixed order. */
     public Map<String, Object> json() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("scenario", scenario.name());
-        all.put("seed", seed);
-        all.put("kept", round(servedWorthShare()));
-        all.put("keptLessDeductions", round(score()));
-        all.put("worst10s", round(worstTenSeconds()));
+        Map<String, Object> report = new LinkedHashMap<>();
+        report.put("scenario", scenario.name());
+        report.put("seed", seed);
+        report.put("kept", round(servedWorthShare()));
+        report.put("keptLessDeductions", round(score()));
+        report.put("worst10s", round(worstTenSeconds()));
         Map<String, Object> zones = new LinkedHashMap<>();
         for (int z = 0; z < scenario.zones().size(); z++) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("diners", round(servedShare(z)));
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("diners", round(servedShare(z)));
             List<Object> windows = new ArrayList<>();
             for (int from = 0; from < seconds; from += 5) {
                 windows.add(round(servedShare(z, from, from + 5)));
             }
-            one.put("dinersBy5s", windows.toArray());
-            one.put("mostSpilledSlots", round(mostSpilledSlots[z]));
-            one.put("mostSpilledShare", round(mostSpillShare[z]));
-            zones.put(scenario.zones().get(z).name(), one);
+            entry.put("dinersBy5s", windows.toArray());
+            entry.put("mostSpilledSlots", round(mostSpilledSlots[z]));
+            entry.put("mostSpilledShare", round(mostSpillShare[z]));
+            zones.put(scenario.zones().get(z).name(), entry);
         }
-        all.put("halls", zones);
-        Map<String, Object> types = new LinkedHashMap<>();
+        report.put("halls", zones);
+        Map<String, Object> byClass = new LinkedHashMap<>();
         for (int c = 0; c < classNames.size(); c++) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("kept", round(share(servedWorthByClass[c], offeredWorthByClass[c])));
-            one.put("p50Ms", round(answerTimes.get(c).getValueAtPercentile(50) / 1e3));
-            one.put("p99Ms", round(answerTimes.get(c).getValueAtPercentile(99) / 1e3));
-            types.put(classNames.get(c), one);
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("kept", round(share(servedWorthByClass[c], offeredWorthByClass[c])));
+            entry.put("p50Ms", round(answerTimes.get(c).getValueAtPercentile(50) / 1e3));
+            entry.put("p99Ms", round(answerTimes.get(c).getValueAtPercentile(99) / 1e3));
+            byClass.put(classNames.get(c), entry);
         }
-        all.put("classes", types);
-        all.put("toDark", round(darkSendShare()));
-        all.put("trials", round(darkTrialShare()));
-        all.put("coldBudgetUsed", round(coldBudgetUsed));
-        all.put("fallenOver", overloadedNodes);
-        all.put("ranTwice", duplicateRuns);
-        all.put("withoutAnswerInTime", missedDeadlines);
-        all.put("answeredTwice", duplicateAnswers);
-        all.put("sentAfterTheEnd", sendsAfterAnswer);
-        all.put("refusedWhileOut", refusalsWithOpenAttempts);
-        all.put("notAllowed", forbiddenActions);
-        all.put("refused", refusals);
-        all.put("failed", failures);
-        all.put("sends", sendCount);
-        all.put("crossings", crossZoneSends);
-        all.put("wastedSeconds", round(wastedWork / 1e6));
+        report.put("classes", byClass);
+        report.put("toDark", round(darkSendShare()));
+        report.put("trials", round(darkTrialShare()));
+        report.put("coldBudgetUsed", round(coldBudgetUsed));
+        report.put("fallenOver", overloadedNodes);
+        report.put("ranTwice", duplicateRuns);
+        report.put("withoutAnswerInTime", missedDeadlines);
+        report.put("answeredTwice", duplicateAnswers);
+        report.put("sentAfterTheEnd", sendsAfterAnswer);
+        report.put("refusedWhileOut", refusalsWithOpenAttempts);
+        report.put("notAllowed", forbiddenActions);
+        report.put("refused", refusals);
+        report.put("failed", failures);
+        report.put("sends", sendCount);
+        report.put("crossings", crossZoneSends);
+        report.put("wastedSeconds", round(wastedWork / 1e6));
         Map<String, Object> evenness = new LinkedHashMap<>();
-        evenness.put("variation100ms", round(loadBalance.variationShort()));
-        evenness.put("variation1s", round(loadBalance.variationLong()));
-        evenness.put("mostAgainstMean1s", round(loadBalance.peakLong()));
+        evenness.put("variation100ms", round(loadBalance.shortWindowVariation()));
+        evenness.put("variation1s", round(loadBalance.longWindowVariation()));
+        evenness.put("mostAgainstMean1s", round(loadBalance.longWindowPeak()));
         evenness.put("idleWhileOthersQueue", round(loadBalance.idleWhileOthersQueue()));
         evenness.put("crowdAgainstChance", round(loadBalance.crowding()));
-        all.put("even", evenness);
-        all.put("probes", probeCount);
-        all.put("messages", messageCount);
-        all.put("messageBytes", messageBytes);
-        all.put("longestMessage", longestMessage);
-        all.put("mostHungInAHall", mostHungInZone);
-        all.put("events", eventCount);
-        all.put("moves", hallStateChanges);
-        return all;
+        report.put("even", evenness);
+        report.put("probes", probeCount);
+        report.put("messages", messageCount);
+        report.put("messageBytes", messageBytes);
+        report.put("longestMessage", longestMessage);
+        report.put("mostHungInAHall", mostHungInZone);
+        report.put("events", eventCount);
+        report.put("moves", hallStateChanges);
+        return report;
     }
 
     private static double round(double figure) {
         return Math.round(figure * 1e4) / 1e4;
     }
 
-    /** A table for people. */
+    /** The report as a table for reading. */
     public String table() {
         StringBuilder out = new StringBuilder();
         out.append(String.format(
@@ -373,9 +373,9 @@
                 Locale.ROOT,
                 "even load: variation %.2f in 0.1 s, %.2f in 1 s, most %.2f times the mean in 1 s; free while"
                         + " others queue %.3f slots a node; crowding %.2f of chance's%n",
-                loadBalance.variationShort(),
-                loadBalance.variationLong(),
-                loadBalance.peakLong(),
+                loadBalance.shortWindowVariation(),
+                loadBalance.longWindowVariation(),
+                loadBalance.longWindowPeak(),
                 loadBalance.idleWhileOthersQueue(),
                 loadBalance.crowding()));
         out.append("by 5 s, worth served:");
--- a/src/main/java/barrowshore/emulate/Scenario.java
+++ b/src/main/java/barrowshore/emulate/Scenario.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * What is emulated: zones with their nodes, schedulers and clients, and what happens to them when. It owns the reading
- * of the scenario's file; times are microseconds from the start.
+ * An emulated scenario: zones with their nodes, schedulers and clients, and the events that happen to them. It owns the
+ * parsing of scenario files; times are microseconds from the start.
  */
 public record Scenario(
         String name,
@@ -22,10 +22,10 @@
         boolean probes,
         List<ZoneSpec> zones,
         List<ScenarioEvent> events) {
-    /** clients: the share of all clients that belong to the zone. */
+    /** A zone; clients: its share of all clients. */
     public record ZoneSpec(String name, int nodes, int schedulers, double clients) {}
 
-    /** What a thing is that happens. */
+    /** Kind of event; named after the XML elements and values, and printed in reports. */
     public enum EventType {
         VANISH,
         CRASH,
@@ -41,14 +41,14 @@
     }
 
     /**
-     * Something that happens. spread: over how long its parts begin and end; part: of the zone's nodes; back: the share
-     * of those that ever come back; factor, scheduler and count where they mean something.
+     * An event. spreadMicros: time over which nodes are affected one by one; nodeShare: of the zone's nodes; returnShare: of
+     * the affected nodes; factor (for TROUBLES a count) and scheduler are used by some types only.
      */
     public record ScenarioEvent(
             EventType type,
-            long at,
-            long duration,
-            long spread,
+            long startMicros,
+            long durationMicros,
+            long spreadMicros,
             int zone,
             double nodeShare,
             double returnShare,
@@ -70,7 +70,7 @@
         List<ZoneSpec> zones = new ArrayList<>();
         for (Element e : root.childrenNamed("hall")) {
             if (zones.stream().anyMatch(z -> z.name().equals(e.get("name")))) {
-                throw e.error(file, e.get("name") + " is there twice");
+                throw e.error(file, e.get("name") + " is defined twice");
             }
             zones.add(new ZoneSpec(
                     e.get("name"), (int) e.number("nodes"), (int) e.number("schedulers"), e.number("clients")));
@@ -129,8 +129,8 @@
                 events);
     }
 
-    private static double number(Element e, String attribute, double otherwise) {
-        return e.get(attribute) == null ? otherwise : e.number(attribute);
+    private static double number(Element e, String attribute, double defaultValue) {
+        return e.get(attribute) == null ? defaultValue : e.number(attribute);
     }
 
     int schedulers() {
--- a/src/main/java/barrowshore/emulate/ScenarioRunner.java
+++ b/src/main/java/barrowshore/emulate/ScenarioRunner.java
@@ -17,13 +17,13 @@
 import org.eclipse.jetty.util.ajax.JSON;
 
 /**
- * Plays a scenario over one seed or many and prints what came of it: a report for one, a table for many. Seeds are
- * played side by side, each in a world of its own, so their order does not show. It owns what is printed and written.
+ * Runs a scenario with one seed or several and prints the results: a report for one, a table for several. Seeds run in
+ * parallel, each in its own emulation, so their order does not matter. It owns the output.
  */
 public final class ScenarioRunner {
     private ScenarioRunner() {}
 
-    /** Plays; json null: nothing is written. */
+    /** Runs the scenario; compare: also without the operators' settings; json: file for the reports, or null. */
     public static void run(
             PrintStream out,
             Scenario scenario,
@@ -37,7 +37,7 @@
             throw new ConfigException("--seeds must be at least 1");
         }
         if (compare && operator.halls() == null) {
-            throw new ConfigException("--compare needs --operator with halls, or there is nothing to compare");
+            throw new ConfigException("--compare needs --operator with halls: without them both runs are the same");
         }
         List<Report> on = play(scenario, operator, seed, seeds);
         List<Report> off = compare ? play(scenario, OperatorSettings.NONE, seed, seeds) : List.of();
@@ -62,8 +62,8 @@
             printRow(out, "nodes fallen over (most)", Report::overloadedNodes, true, on, off);
             printRow(out, "unsafe jobs run twice (most)", r -> r.duplicateRuns, true, on, off);
             printRow(out, "no answer in time (most)", r -> r.missedDeadlines, true, on, off);
-            printRow(out, "variation of load, 1 s (most)", r -> r.loadBalance.variationLong(), true, on, off);
-            printRow(out, "most load against mean, 1 s (most)", r -> r.loadBalance.peakLong(), true, on, off);
+            printRow(out, "variation of load, 1 s (most)", r -> r.loadBalance.longWindowVariation(), true, on, off);
+            printRow(out, "most load against mean, 1 s (most)", r -> r.loadBalance.longWindowPeak(), true, on, off);
             printRow(out, "free while others queue (most)", r -> r.loadBalance.idleWhileOthersQueue(), true, on, off);
             printRow(out, "crowding against chance (most)", r -> r.loadBalance.crowding(), true, on, off);
             printRow(out, "changes of hall states (most)", Report::hallStateChangeCount, true, on, off);
@@ -89,23 +89,23 @@
     private static void printRow(
             PrintStream out,
             String name,
-            ToDoubleFunction<Report> figure,
+            ToDoubleFunction<Report> metric,
             boolean highest,
             List<Report> on,
             List<Report> off) {
-        out.printf(Locale.ROOT, "%-34s %10.4f %10.4f", name, mean(on, figure), extreme(on, figure, highest));
+        out.printf(Locale.ROOT, "%-34s %10.4f %10.4f", name, mean(on, metric), extreme(on, metric, highest));
         if (!off.isEmpty()) {
-            out.printf(Locale.ROOT, " %10.4f %10.4f", mean(off, figure), extreme(off, figure, highest));
+            out.printf(Locale.ROOT, " %10.4f %10.4f", mean(off, metric), extreme(off, metric, highest));
         }
         out.println();
     }
 
-    private static double mean(List<Report> reports, ToDoubleFunction<Report> figure) {
-        return reports.stream().mapToDouble(figure).average().orElse(0);
+    private static double mean(List<Report> reports, ToDoubleFunction<Report> metric) {
+        return reports.stream().mapToDouble(metric).average().orElse(0);
     }
 
-    private static double extreme(List<Report> reports, ToDoubleFunction<Report> figure, boolean highest) {
-        var values = reports.stream().mapToDouble(figure);
+    private static double extreme(List<Report> reports, ToDoubleFunction<Report> metric, boolean highest) {
+        var values = reports.stream().mapToDouble(metric);
         return (highest ? values.max() : values.min()).orElse(0);
     }
 }
--- a/src/main/java/barrowshore/emulate/VirtualClock.java
+++ b/src/main/java/barrowshore/emulate/VirtualClock.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: discrete events in the order of their times and, at one time, of their making, so that the same inputs
- * give the same run. It owns the clock and what is still to come; it must never look at the real time.
+ * Discrete-event virtual time. It owns the clock and the pending events, which run by time and, at equal times, in the order
+ * they were added, so that equal inputs give equal runs. It never reads the real time.
  */
 public final class VirtualClock implements Timeline {
     private record Event(long at, long order, Runnable run) {}
@@ -15,7 +15,7 @@
     private long now;
     private long nextOrder;
 
-    /** Starts at a time, so that 0 can go on meaning long ago. */
+    /** Starts at a given time, so that 0 can mean long ago. */
     public VirtualClock(long start) {
         now = start;
     }
@@ -30,12 +30,12 @@
         events.add(new Event(Math.max(now, time), nextOrder++, action));
     }
 
-    /** Runs it so long from now. */
+    /** Runs the action after a delay. */
     public void runAfter(long delay, Runnable action) {
         runAt(now + delay, action);
     }
 
-    /** Runs what is due until then. */
+    /** Runs the events due up to a time, and advances the clock to it. */
     public void runUntil(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
             Event next = events.poll();
@@ -45,7 +45,7 @@
         now = Math.max(now, until);
     }
 
-    /** How many events there have been. */
+    /** Number of events added so far. */
     public long eventCount() {
         return nextOrder;
     }
--- a/src/main/java/barrowshore/model/Timeline.java
+++ b/src/main/java/barrowshore/model/Timeline.java
@@ -1,9 +1,12 @@
 package barrowshore.model;
 
-/** Where a model gets its time and its later from: virtual in an emulation, real behind a socket. Times in microseconds. */
+/** The clock and timers of a model: virtual in an emulation, real behind a socket. Times are in microseconds. */
 public interface Timeline {
     long now();
 
-    /** Runs it at that time or, if that has passed, soon; one that is not wanted any more has to know so itself. */
+    /**
+     * Runs the action at that time, or soon if it has passed. There is no cancelling: an outdated action must do
+     * nothing.
+     */
     void runAt(long time, Runnable action);
 }
--- a/src/main/java/barrowshore/model/WorkerModel.java
+++ b/src/main/java/barrowshore/model/WorkerModel.java
@@ -6,38 +6,47 @@
 import java.util.List;
 
 /**
- * A model of one order node: cores, slots, a bounded queue served in order or by what fits, warm-up after a start,
- * falling over when too much comes while it is cold, pauses in which it takes work and answers nothing, slowness, and a
- * drain. Nothing that waits or runs is ever cancelled. It owns the jobs that it was offered, each until its one end, and
- * must never know who offered them or over what. Pure: time comes from a {@link Timeline}; not thread-safe.
+ * A model of one worker: cores, slots, a bounded queue (FIFO or with backfill), warm-up after a start, failure from
+ * overload while cold, hangs, slowdown and draining. It owns each job from its offer to its single final callback, never
+ * cancels one, and knows nothing of senders or transport. All time comes from a {@link Timeline}; not thread-safe.
  */
 public final class WorkerModel {
-    /** Chance: a cold node falls over above N + 3 sqrt(N) + 3 mean jobs in a window, N being what the limit allows. */
+    /**
+     * Allowance for random arrivals: a cold worker fails above N + 3 sqrt(N) + 3 mean jobs in a window, where N is what
+     * the overload limit allows.
+     */
     private static final double RANDOM_ARRIVAL_ALLOWANCE = 3;
-    /** The part of what pushed it over that must have come from senders who knew, for the rule to be broken. */
+    /** An overload violates the senders' rule if more than this share of the work came from senders told of the start. */
     private static final double INFORMED_SHARE_OF_OVERLOAD = 2 / 3.0;
 
     /**
-     * What a node is. speed: of a core, against the standard one; queue: slots of work that may wait; coldFrom: the share
-     * of its capacity at a start; coldTime: until it is warm, microseconds.
+     * A worker's hardware. speed: of a core, relative to a standard core; queue: slots of work that may wait;
+     * startCapacity: the share of its capacity right after a start; warmUpMicros: time until it has all of it.
      */
-    public record Spec(int cores, double speed, double queue, boolean backfill, double coldFrom, long coldTime) {}
+    public record Spec(
+            int cores, double speed, double queue, boolean backfill, double startCapacity, long warmUpMicros) {}
 
-    /** What pushes a cold node over: so many times its present capacity for so long. meanJob: work of a usual job. */
-    public record OverloadLimit(double multiple, long window, double meanJob) {}
+    /**
+     * What a cold worker fails from: work arriving at this multiple of its current capacity over the window. meanJobWork:
+     * slots times work of the mean job.
+     */
+    public record OverloadLimit(double multiple, long windowMicros, double meanJobWork) {}
 
-    /** A job on a node; work in microseconds at speed 1. The calls come in order, and the last one is one of four. */
+    /**
+     * A job on a worker; its work is in microseconds at speed 1. Callbacks come in order, and the last one is done, failed,
+     * returned or lost.
+     */
     public interface Job {
         double slots();
 
         double work();
 
-        /** Memory that it needs while it runs; a node has one unit for each core. */
+        /** Memory needed while it runs; a worker has one unit per core. */
         default double memory() {
             return 0;
         }
 
-        /** Whether whoever sent it had been told that the node has just started. */
+        /** Whether the sender had been told of the worker's latest start. */
         default boolean senderKnewOfRestart() {
             return true;
         }
@@ -50,10 +59,10 @@
 
         void failed();
 
-        /** Handed back unstarted: the queue is full, or it drains. */
+        /** Handed back without being started: the queue is full, or the worker is draining. */
         void returned();
 
-        /** The process died with it. */
+        /** The worker's process died while holding it. */
         void lost();
     }
 
@@ -90,7 +99,7 @@
     private double coldBudgetUsed;
     private long served;
 
-    /** A node that has been up for long. progressEvery: microseconds between notes of progress; 0: none. */
+    /** Creates a warm worker. progressIntervalMicros: time between progress callbacks; 0: none. */
     public WorkerModel(Timeline timeline, Spec spec, OverloadLimit overloadLimit, long progressIntervalMicros) {
         this.timeline = timeline;
         this.spec = spec;
@@ -103,12 +112,12 @@
         return up;
     }
 
-    /** Whether it fell over while cold. */
+    /** Whether it failed from overload while cold; it then never starts again. */
     public boolean hasFailedFromOverload() {
         return failedFromOverload;
     }
 
-    /** Whether it fell over under what came from senders that knew of its start: two thirds of it, as the rule has it. */
+    /** Whether more than two thirds of the work that overloaded it came from senders that had been told of its start. */
     public boolean wasOverloadedByInformedSenders() {
         return overloadedByInformedSenders;
     }
@@ -125,27 +134,27 @@
         return queue.size() + running.size();
     }
 
-    /** Slots of what waits and runs. */
+    /** Slots of the jobs that wait or run. */
     public double occupiedAndWaitingSlots() {
         return waitingSlots + occupiedSlots();
     }
 
-    /** Slots of the work that waits. */
+    /** Slots of the waiting jobs. */
     public double waitingSlots() {
         return waitingSlots;
     }
 
-    /** What it can do now, in cores at speed 1. */
+    /** Present capacity in cores at speed 1. */
     public double capacity() {
         return capacityShare(timeline.now()) * spec.cores() * spec.speed() / slowdown;
     }
 
-    /** How many jobs wait. */
+    /** Number of waiting jobs. */
     public int waitingJobs() {
         return queue.size();
     }
 
-    /** How fast a slot runs that is filled now. */
+    /** Speed that a slot would have if a one-slot job started in it now. */
     public double pace() {
         return Math.min(
                         1,
@@ -160,7 +169,7 @@
         return Math.max(0, spec.cores() - occupiedSlots());
     }
 
-    /** The most that came while it was cold from senders who knew of it, against what would have pushed it over. */
+    /** Highest ratio so far of work from informed senders in a window to what the cold worker fails above. */
     public double coldBudgetUsed() {
         return coldBudgetUsed;
     }
@@ -177,28 +186,28 @@
         return sum;
     }
 
-    /** The share of its capacity that it has at a time. */
+    /** Share of full capacity at a time: grows linearly over the warm-up. */
     private double capacityShare(long at) {
-        double share = (at - startedAt) / (double) spec.coldTime();
-        return share >= 1 ? 1 : spec.coldFrom() + (1 - spec.coldFrom()) * Math.max(0, share);
+        double share = (at - startedAt) / (double) spec.warmUpMicros();
+        return share >= 1 ? 1 : spec.startCapacity() + (1 - spec.startCapacity()) * Math.max(0, share);
     }
 
     /**
-     * The part of its speed that each running slot gets: while cold there are fewer cores than slots, shared evenly, so a
-     * lone job runs as fast as ever.
+     * The share of a core that each running slot gets. A cold worker has fewer cores, shared evenly, and not slower ones: a
+     * single job runs at full speed.
      */
     private double coreShare(long at) {
         return Math.min(1, capacityShare(at) * spec.cores() / Math.max(1, occupiedSlots()));
     }
 
-    /** From when on there is a whole core for each slot that runs now. */
+    /** The time from which there is a whole core for each slot that runs now. */
     private long fullSpeedTime() {
         double needed = Math.max(1, occupiedSlots()) / spec.cores();
-        double share = (needed - spec.coldFrom()) / Math.max(1e-9, 1 - spec.coldFrom());
-        return startedAt + (long) Math.ceil(spec.coldTime() * Math.max(0, Math.min(1, share)));
+        double share = (needed - spec.startCapacity()) / Math.max(1e-9, 1 - spec.startCapacity());
+        return startedAt + (long) Math.ceil(spec.warmUpMicros() * Math.max(0, Math.min(1, share)));
     }
 
-    /** Work that a slot does from one time to another, as many as now running. */
+    /** Work that each slot does between two times if the running slots stay as they are. */
     private double workPerSlot(long from, long to) {
         if (hung || to <= from) {
             return 0;
@@ -208,9 +217,9 @@
         return (rampTime + (to - rampEnd)) * spec.speed() / slowdown;
     }
 
-    /** When a slot will have done so much from now on, as many as now running. */
-    private long finishTime(long from, double amount) {
-        double needed = amount * slowdown / spec.speed();
+    /** When a slot will have done that much work if the running slots stay as they are. */
+    private long finishTime(long from, double work) {
+        double needed = work * slowdown / spec.speed();
         long rampEnd = fullSpeedTime();
         if (from >= rampEnd) {
             return from + (long) Math.ceil(needed);
@@ -219,12 +228,12 @@
         if (needed >= untilRampEnd) {
             return rampEnd + (long) Math.ceil(needed - untilRampEnd);
         }
-        // the pace grows evenly: need = a t + b t^2 / 2
+        // The core share grows linearly: needed = a t + b t^2 / 2, solved for t.
         double a = coreShare(from), b = (coreShare(rampEnd) - a) / (rampEnd - from);
         return from + (long) Math.ceil((Math.sqrt(a * a + 2 * b * needed) - a) / b);
     }
 
-    /** A job's last byte has come. */
+    /** Takes, queues or returns a job that has arrived completely. */
     public void offer(Job job) {
         if (!up) {
             job.lost();
@@ -232,7 +241,7 @@
         }
         recordArrival(job);
         if (!up) {
-            job.lost(); // it was the one too many
+            job.lost(); // this job overloaded the worker
             return;
         }
         if (draining
@@ -247,13 +256,16 @@
         startWaitingJobs();
     }
 
-    /** Every job that comes weighs, those that are turned away too. */
+    /**
+     * Counts an arriving job, even one that is then returned, towards the overload limit; crashes if a cold worker
+     * exceeds it.
+     */
     private void recordArrival(Job job) {
         long now = timeline.now();
         double work = job.work() * job.slots();
         arrivals.add(new Arrival(now, work, job.senderKnewOfRestart()));
         arrivedWork += work;
-        while (arrivals.peek().at() <= now - overloadLimit.window()) {
+        while (arrivals.peek().at() <= now - overloadLimit.windowMicros()) {
             arrivedWork -= arrivals.poll().work();
         }
         if (capacityShare(now) < 1) {
@@ -261,11 +273,11 @@
                     * spec.cores()
                     * spec.speed()
                     * capacityShare(now)
-                    * overloadLimit.window()
-                    / overloadLimit.meanJob();
+                    * overloadLimit.windowMicros()
+                    / overloadLimit.meanJobWork();
             double workLimit =
                     (allowedJobs + RANDOM_ARRIVAL_ALLOWANCE * Math.sqrt(allowedJobs) + RANDOM_ARRIVAL_ALLOWANCE)
-                            * overloadLimit.meanJob();
+                            * overloadLimit.meanJobWork();
             double workSinceStart = 0, informedWork = 0;
             for (Arrival a : arrivals) {
                 workSinceStart += a.at() >= startedAt ? a.work() : 0;
@@ -292,7 +304,7 @@
         return occupiedSlots() + job.slots() <= spec.cores() && memory + job.memory() <= spec.cores();
     }
 
-    /** Starts what can start. */
+    /** Starts waiting jobs that fit: from the head of the queue only, or any of them with backfill. */
     private void startWaitingJobs() {
         if (!up || hung) {
             return;
@@ -314,13 +326,13 @@
                     break;
                 }
                 if (!spec.backfill()) {
-                    break; // the first one waits until it fits
+                    break; // FIFO: nothing passes the first job
                 }
             }
         }
     }
 
-    /** Books what has been done since the last time. */
+    /** Subtracts the work done since the last call from each running job. */
     private void updateProgress() {
         long now = timeline.now();
         double done = workPerSlot(progressUpdatedAt, now);
@@ -330,9 +342,9 @@
         progressUpdatedAt = now;
     }
 
-    /** One more runs, or one less: while it is cold, that changes the pace of all. */
+    /** Plans completions after a job started (null: one ended): while cold, the number of jobs changes the speed of all. */
     private void rescheduleAfterChange(RunningJob started) {
-        if (timeline.now() < startedAt + spec.coldTime()) {
+        if (timeline.now() < startedAt + spec.warmUpMicros()) {
             rescheduleAll();
         } else if (started != null) {
             scheduleCompletion(started);
@@ -382,14 +394,17 @@
         running.forEach(this::scheduleCompletion);
     }
 
-    /** From now on everything takes so many times as long. */
+    /** From now on all work takes this many times as long. */
     public void setSlowdown(double factor) {
         updateProgress();
         slowdown = factor;
         rescheduleAll();
     }
 
-    /** It takes work and answers nothing, or goes on with what it has. */
+    /**
+     * While hung it accepts jobs, does no work and delivers no callback; afterwards it continues and delivers those
+     * held.
+     */
     public void setHung(boolean hang) {
         updateProgress();
         hung = hang;
@@ -402,7 +417,7 @@
         }
     }
 
-    /** It finishes what it runs, hands back what waits and takes nothing new; or takes work again. */
+    /** While draining it finishes running jobs; waiting and new jobs are returned. */
     public void setDraining(boolean drain) {
         draining = drain;
         if (drain) {
@@ -413,7 +428,7 @@
         }
     }
 
-    /** The process dies with all that it holds. */
+    /** The process dies: all its jobs are lost. */
     public void crash() {
         if (!up) {
             return;
@@ -429,10 +444,10 @@
         lost.forEach(Job::lost);
     }
 
-    /** The process starts again, cold. */
+    /** Starts the process again, cold. */
     public void restart() {
         if (failedFromOverload) {
-            return; // what was pushed over stays down
+            return; // a worker that failed from overload stays down
         }
         up = true;
         hung = false;
--- a/src/test/java/barrowshore/emulate/ColdFleetTest.java
+++ b/src/test/java/barrowshore/emulate/ColdFleetTest.java
@@ -23,46 +23,50 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Thirty real modules before one server that starts cold. It answers each job at once, so that no waiting holds a
- * scheduler back and only the cold budget does. All that comes to it, every attempt, is counted exactly in any window
- * against N + 2 sqrt(N) + 2, where N is the jobs that the settings allow at its present capacity. Three schedulers get
- * many times the mean, most get next to nothing, and their clocks are some milliseconds apart.
+ * Guards against a fleet of schedulers together overloading a server that starts cold. The server answers at once, so that
+ * only the schedulers' cold budget limits what they send. Every attempt is counted in sliding windows against
+ * N + 2 sqrt(N) + 2, where N is the jobs that the settings allow at its present capacity. Three of thirty schedulers get
+ * most of the requests, and clocks differ by some milliseconds.
  */
 class ColdFleetTest {
     private static final long MILLISECOND = 1_000, SECOND = 1_000_000, STEP_MICROS = 5 * MILLISECOND;
-    private static final long SERVER_START = 1_000 * SECOND, WARM_UP_MICROS = 20 * SECOND, WINDOW_MICROS = 2 * SECOND;
+    private static final long SERVER_START_MICROS = 1_000 * SECOND,
+            WARM_UP_MICROS = 20 * SECOND,
+            WINDOW_MICROS = 2 * SECOND;
     private static final int SCHEDULER_COUNT = 30, BUSY_SCHEDULERS = 3, SEED_COUNT = 4;
     private static final double OVERLOAD_MULTIPLE = 3, START_CAPACITY = 0.2;
-    /** How far apart clocks are at most. */
     private static final long MAX_CLOCK_SKEW_MICROS = 20 * MILLISECOND;
 
     private static final long TURN_MICROS = 4 * WINDOW_MICROS, OVERLAP_MICROS = 3 * SECOND;
 
     @ParameterizedTest
     @CsvSource({"16,50000", "16,200000", "16,600000", "4,600000"})
-    void theSumOfAFleetThatStaysIsKept(int slots, long work) {
+    void aFleetWithoutRestartsKeepsTheColdBudget(int slots, long work) {
         assertBudgetKept(slots, work, 0, 0);
     }
 
-    /** The process after starts with half of what is due to a scheduler, and has all once the one before is gone. */
+    /**
+     * During an upgrade, the old and the new process have half of a scheduler's budget each; the new one then gets all
+     * of it.
+     */
     @ParameterizedTest
     @CsvSource({"16,50000", "16,200000", "16,600000", "4,600000"})
-    void theSumIsKeptWhereSchedulersRunInTwoProcessesForAWhile(int slots, long work) {
+    void aFleetOfOverlappingProcessesKeepsTheColdBudget(int slots, long work) {
         assertBudgetKept(slots, work, 0, 4 * SECOND);
     }
 
-    /** A scheduler that has just started does not know what it sent before, in the same turn. */
+    /** A restarted scheduler does not know what it sent in the same turn before its crash. */
     @ParameterizedTest
     @CsvSource({"16,50000", "16,200000", "16,600000", "4,600000"})
-    void theSumIsKeptWhereSchedulersAreKilledAndStartAfreshUnderTheirNames(int slots, long work) {
+    void aFleetWithKilledAndRestartedSchedulersKeepsTheColdBudget(int slots, long work) {
         assertBudgetKept(slots, work, 300 * MILLISECOND, 0);
     }
 
-    private static void assertBudgetKept(int slots, long work, long restartEvery, long twoProcessesEvery) {
+    private static void assertBudgetKept(int slots, long work, long restartIntervalMicros, long upgradeIntervalMicros) {
         WindowCount fullest = new WindowCount(slots, work);
         int calls = 0;
         for (int seed = 0; seed < SEED_COUNT; seed++) {
-            Fleet fleet = new Fleet(slots, work, seed, restartEvery, twoProcessesEvery);
+            Fleet fleet = new Fleet(slots, work, seed, restartIntervalMicros, upgradeIntervalMicros);
             fleet.play();
             calls += fleet.count.calls;
             fullest = fleet.count.budgetUsed > fullest.budgetUsed ? fleet.count : fullest;
@@ -72,7 +76,7 @@
         assertThat(fullest.budgetUsed).as("the server is used: %s", figures).isGreaterThan(0.15);
     }
 
-    /** What has come to the server within a window, and the fullest of all windows. */
+    /** Counts the calls to the server in a sliding window, and keeps the window that used most of its budget. */
     private static final class WindowCount {
         private final Deque<Long> window = new ArrayDeque<>();
         private final int slots;
@@ -93,7 +97,7 @@
             while (window.peek() <= now - WINDOW_MICROS) {
                 window.remove();
             }
-            double share = START_CAPACITY + (1 - START_CAPACITY) * (now - SERVER_START) / WARM_UP_MICROS;
+            double share = START_CAPACITY + (1 - START_CAPACITY) * (now - SERVER_START_MICROS) / WARM_UP_MICROS;
             double jobs = OVERLOAD_MULTIPLE * share * slots * WINDOW_MICROS / work;
             double used = window.size() / (jobs + 2 * Math.sqrt(jobs) + 2);
             if (used > budgetUsed) {
@@ -115,7 +119,7 @@
         }
     }
 
-    /** A process: its module, and the request that it has sent on in the present call. */
+    /** A scheduler process: its module, timers, and whether the present request has been sent to the server. */
     private static final class SchedulerProcess implements DispatchApi.Actions {
         private record Timer(long at, String token) {}
 
@@ -134,7 +138,7 @@
             module.list(this.now, ListKind.INITIAL, List.of(server));
         }
 
-        /** Lets the time pass up to now. */
+        /** Advances the process's clock to a time and runs due timers. */
         void advanceTo(long time) {
             now = time + clockSkew;
             List<Timer> due = timers.stream().filter(t -> t.at <= now).toList();
@@ -142,7 +146,7 @@
             due.forEach(t -> module.timerFired(now, t.token));
         }
 
-        /** Whether it sends a job to the server, which answers at once. */
+        /** Passes a request to the module; true if it was sent to the server, which answers at once. */
         boolean request(long work) {
             sent = false;
             String id = "r" + requests++;
@@ -186,28 +190,28 @@
         public void log(String line) {}
     }
 
-    /** The schedulers, each of one process or of two, and what befalls them. */
+    /** The schedulers, of one process or two each, their requests and restarts. */
     private static final class Fleet {
         final WindowCount count;
         private final UniformRandomProvider random;
         private final long work;
-        private final long restartEvery;
-        private final long twoProcessesEvery;
+        private final long restartIntervalMicros;
+        private final long upgradeIntervalMicros;
         private final Member server;
         private final long[] clockSkews;
         private final List<List<SchedulerProcess>> schedulers = new ArrayList<>();
         private long lastSeed;
 
-        Fleet(int slots, long work, int seed, long restartEvery, long twoProcessesEvery) {
+        Fleet(int slots, long work, int seed, long restartIntervalMicros, long upgradeIntervalMicros) {
             count = new WindowCount(slots, work);
             random = RandomSource.XO_SHI_RO_256_PP.create(seed);
             this.work = work;
-            this.restartEvery = restartEvery;
-            this.twoProcessesEvery = twoProcessesEvery;
-            server = new Member("cold-" + seed, Health.READY, slots, 0, 0, 0, SERVER_START);
+            this.restartIntervalMicros = restartIntervalMicros;
+            this.upgradeIntervalMicros = upgradeIntervalMicros;
+            server = new Member("cold-" + seed, Health.READY, slots, 0, 0, 0, SERVER_START_MICROS);
             clockSkews = random.longs(SCHEDULER_COUNT, 0, MAX_CLOCK_SKEW_MICROS).toArray();
-            for (int me = 0; me < SCHEDULER_COUNT; me++) {
-                schedulers.add(new ArrayList<>(List.of(newProcess(me, SERVER_START - TURN_MICROS))));
+            for (int index = 0; index < SCHEDULER_COUNT; index++) {
+                schedulers.add(new ArrayList<>(List.of(newProcess(index, SERVER_START_MICROS - TURN_MICROS))));
             }
         }
 
@@ -217,7 +221,7 @@
             settings.dispatchers = SCHEDULER_COUNT;
             settings.ownIndex = index;
             settings.tickMicros = STEP_MICROS;
-            // An aim that grows with the work as far as the deadline: cold, a job is slow but not late.
+            // The target time stretches up to the deadline: a job on the cold server is slow but not late.
             settings.classes = new JobClass[] {
                 new JobClass(work, 19, 2 * SECOND, 1, 0, RepeatSafety.SAFE, DedupScope.ALL, 500 * MILLISECOND, -1, 0)
             };
@@ -229,7 +233,9 @@
         }
 
         void play() {
-            for (long now = SERVER_START + STEP_MICROS; now < SERVER_START + WARM_UP_MICROS; now += STEP_MICROS) {
+            for (long now = SERVER_START_MICROS + STEP_MICROS;
+                    now < SERVER_START_MICROS + WARM_UP_MICROS;
+                    now += STEP_MICROS) {
                 injectRestarts(now);
                 for (int index = 0; index < SCHEDULER_COUNT; index++) {
                     for (SchedulerProcess process : schedulers.get(index)) {
@@ -248,7 +254,10 @@
             }
         }
 
-        /** How many requests come to a scheduler in a step: busy are those that may have a turn, the worst case. */
+        /**
+         * Requests arriving at a scheduler in a step. Worst case: schedulers whose turn it may be to use the budget
+         * are busy.
+         */
         private int requestCount(long now, int index) {
             return isBusy(now, index) ? 2 : random.nextInt(20) == 0 ? 1 : 0;
         }
@@ -260,21 +269,21 @@
         }
 
         private void injectRestarts(long now) {
-            long sinceStart = now - SERVER_START;
-            if (restartEvery > 0 && sinceStart % restartEvery == 0) {
+            long sinceStart = now - SERVER_START_MICROS;
+            if (restartIntervalMicros > 0 && sinceStart % restartIntervalMicros == 0) {
                 int index = random.nextInt(SCHEDULER_COUNT);
                 while (random.nextInt(20) > 0 && !isBusy(now, index)) {
                     index = random.nextInt(SCHEDULER_COUNT);
                 }
                 schedulers.get(index).set(0, newProcess(index, now));
             }
-            if (twoProcessesEvery > 0 && sinceStart % twoProcessesEvery == 0) {
+            if (upgradeIntervalMicros > 0 && sinceStart % upgradeIntervalMicros == 0) {
                 for (int index = 0; index < SCHEDULER_COUNT; index++) {
                     schedulers.get(index).add(newProcess(index, now));
                     schedulers.get(index).forEach(process -> process.module.setDispatcherShare(0.5));
                 }
             }
-            if (twoProcessesEvery > 0 && sinceStart % twoProcessesEvery == OVERLAP_MICROS) {
+            if (upgradeIntervalMicros > 0 && sinceStart % upgradeIntervalMicros == OVERLAP_MICROS) {
                 for (List<SchedulerProcess> processes : schedulers) {
                     if (processes.size() > 1) {
                         processes.remove(0);
--- a/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
+++ b/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
@@ -20,14 +20,14 @@
 import org.eclipse.jetty.util.ajax.JSON;
 import org.junit.jupiter.api.Test;
 
-/** Drawn deployments: whatever a platform tells and allows, rules hold; and the world that says so sees a broken one. */
+/** Random deployments: the module violates no rule on any of them, and the emulation detects violations by others. */
 class DeploymentComparisonTest {
     private static Report play(long seed, Emulation.ModuleFactory modules) {
         Deployment.DrawnDeployment drawn = Deployment.draw(seed);
         return new Emulation(drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, modules).play();
     }
 
-    /** A policy that believes other settings than are in force. */
+    /** A baseline policy that works with other settings than those in force. */
     private static Emulation.ModuleFactory withWrongSettings(Consumer<Settings> change) {
         return (settings, actions, truth) -> {
             Settings believed = new Settings();
@@ -51,7 +51,7 @@
     void everyBaselineKeepsTheRules() {
         List<DeploymentComparison.Result> rows = DeploymentComparison.play(40, 1, true);
         assertThat(rows).allSatisfy(row -> assertThat(row.baselineScores()).hasSize(Policy.values().length));
-        // One that is put at 0 has broken a rule: a slow start by chance may push a cold node over now and then.
+        // A score of 0 means a violated rule: the random slow start of baselines may now and then overload a cold node.
         assertThat(rows.stream()
                         .flatMap(row -> row.baselineScores().values().stream())
                         .filter(score -> score == 0)
--- a/src/test/java/barrowshore/emulate/EmulatorPropertyTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorPropertyTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whole days of random misfortune: whatever happens to zones, nodes and schedulers, the rules hold. */
+/** Emulated runs with random events: whatever happens to zones, nodes and schedulers, no rule is violated. */
 class EmulatorPropertyTest {
     private static final long SECOND = 1_000_000;
     private static final OperatorSettings HALLS_ON = OperatorSettings.read(Path.of("deploy/operator.xml"));
@@ -67,9 +67,12 @@
                 events);
     }
 
-    /** One final answer for each request inside its time, no unsafe job twice, no cold node pushed over, no late send. */
+    /**
+     * Each request gets one answer in time; no unsafe job runs twice, no cold node is overloaded, nothing is sent
+     * after the answer.
+     */
     @Property(tries = 80, seed = "20261201")
-    void theRulesHoldWhateverHappens(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int eventCount) {
+    void noRuleIsViolatedWhateverHappens(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int eventCount) {
         Report report = Emulator.play(randomScenario(new Random(seed), eventCount), HALLS_ON, seed);
         assertThat(report.duplicateRuns).as("ran twice").isZero();
         assertThat(report.missedDeadlines)
--- a/src/test/java/barrowshore/emulate/EmulatorTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole days in virtual time: every rule in every scenario, the same run for the same seed, and what zones are for. */
+/** Emulated runs of all scenarios: rules hold, equal seeds give equal runs, and halls are handled as specified. */
 class EmulatorTest {
     private static final Path SCENARIOS = Path.of("scenarios");
     private static final OperatorSettings HALLS_ON = OperatorSettings.read(Path.of("deploy/operator.xml"));
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Fourteen schedulers share nodes that return cold: each is used, and all together stay under its budget. */
+    /** Fourteen schedulers share nodes that restart cold: the nodes are used, and the cold budget is never exceeded. */
     @Test
     void coldNodesAreSharedByAFleetWithoutOverload() {
         for (Report r : play("fleet-cold.xml", OperatorSettings.NONE, 4)) {
@@ -99,7 +99,7 @@
     @Test
     void spillIntoTheRemainingHallIsBounded() {
         List<Report> on = play("hall-burst.xml", HALLS_ON, 8), off = play("hall-burst.xml", OperatorSettings.NONE, 8);
-        // The limit is a share of the slots that there are, and the crowd must not make them look like more.
+        // The limit is a share of the existing slots; high load must not make the estimate of slots larger.
         assertThat(on)
                 .allSatisfy(r -> assertThat(r.mostSpillShare(1)).as(r.table()).isLessThanOrEqualTo(1));
         assertThat(on.stream().mapToDouble(r -> r.servedShare(1)).sum())
--- a/src/test/java/barrowshore/emulate/LoadBalanceStatsTest.java
+++ b/src/test/java/barrowshore/emulate/LoadBalanceStatsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is counted of an even load, on spreads that are known. */
+/** {@link LoadBalanceStats} on known distributions of load. */
 class LoadBalanceStatsTest {
     private static final NodeSample IDLE_NODE = new NodeSample(4, 4, 0),
             FULL_NODE = new NodeSample(4, 0, 6),
@@ -27,9 +27,9 @@
     @Test
     void anEvenSpreadHasNoVariation() {
         playOneSecond(Collections.nCopies(4, IDLE_NODE), 0, 1, 2, 3);
-        assertThat(stats.variationShort()).isZero();
-        assertThat(stats.variationLong()).isZero();
-        assertThat(stats.peakLong()).isEqualTo(1);
+        assertThat(stats.shortWindowVariation()).isZero();
+        assertThat(stats.longWindowVariation()).isZero();
+        assertThat(stats.longWindowPeak()).isEqualTo(1);
         assertThat(stats.idleWhileOthersQueue()).isZero();
         assertThat(stats.crowding()).as("one at each, where chance crowds them").isLessThan(0.5);
     }
@@ -37,8 +37,8 @@
     @Test
     void crowdingOnOneNodeIsDetected() {
         playOneSecond(List.of(FULL_NODE, IDLE_NODE, IDLE_NODE, IDLE_NODE), 0, 0, 0, 0);
-        assertThat(stats.peakLong()).isEqualTo(4);
-        assertThat(stats.variationLong()).isCloseTo(Math.sqrt(3), within(1e-9));
+        assertThat(stats.longWindowPeak()).isEqualTo(4);
+        assertThat(stats.longWindowVariation()).isCloseTo(Math.sqrt(3), within(1e-9));
         assertThat(stats.idleWhileOthersQueue())
                 .as("6 slots of work wait, 12 are free, 4 nodes")
                 .isEqualTo(1.5);
@@ -48,7 +48,7 @@
     @Test
     void lostNodesAreNotCounted() {
         playOneSecond(List.of(IDLE_NODE, IDLE_NODE, LOST_NODE, FULL_NODE), 0, 1, 3, 3);
-        assertThat(stats.peakLong()).isCloseTo(1.5, within(1e-9));
+        assertThat(stats.longWindowPeak()).isCloseTo(1.5, within(1e-9));
         assertThat(stats.idleWhileOthersQueue()).isEqualTo(2);
     }
 }
--- a/src/test/java/barrowshore/model/WorkerModelTest.java
+++ b/src/test/java/barrowshore/model/WorkerModelTest.java
@@ -7,7 +7,7 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 
-/** The model of an order node, against figures worked out by hand. */
+/** {@link WorkerModel} against times computed by hand. */
 class WorkerModelTest {
     private static final long MILLISECOND = 1_000, SECOND = 1_000_000;
 
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void servesInOrderOrWhatFits() {
+    void runsJobsInOrderOrWithBackfill() {
         WorkerModel fifo = node(2, 0.5, 10, false);
         fifo.offer(job("a", 1, 100 * MILLISECOND));
         fifo.offer(job("b", 2, 100 * MILLISECOND));
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void tellsProgressAndSlowsDown() {
+    void reportsProgressAndSlowsDown() {
         WorkerModel node = node(1, 1, 10, false);
         node.offer(job("a", 1, 4 * SECOND));
         timeline.advance(SECOND);
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void aHungNodeTakesWorkAndAnswersLater() {
+    void aHungNodeAcceptsJobsAndAnswersLater() {
         WorkerModel node = node(1, 1, 10, false);
         node.offer(job("a", 1, SECOND));
         timeline.advance(500 * MILLISECOND);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void turnsAwayAboveItsQueueAndWhileItDrains() {
+    void returnsJobsWhenTheQueueIsFullOrWhileDraining() {
         WorkerModel node = node(1, 1, 2, false);
         for (String name : List.of("a", "b", "c", "d")) {
             node.offer(job(name, 1, SECOND));
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void warmsUpEvenly() {
+    void warmsUpLinearly() {
         WorkerModel node = node(1, 1, 10, false);
         node.crash();
         node.restart();
@@ -176,9 +176,12 @@
         assertThat(callbacks).last().isEqualTo("b done 31000");
     }
 
-    /** 0.2 of ten cores are two: a lone job has one to itself, eight share 2.2 and more (0.275 t + 0.025 t^2 = 0.5 s). */
+    /**
+     * 0.2 of ten cores are two: a single job has one to itself; eight jobs share 2.2 and more (0.275 t + 0.025 t^2 =
+     * 0.5 s).
+     */
     @Test
-    void aColdNodeHasFewerCoresAndNotSlowerOnes() {
+    void aColdNodeHasFewerCoresNotSlowerOnes() {
         WorkerModel node = node(10, 1, 100, false);
         node.crash();
         node.restart();
@@ -189,15 +192,15 @@
             node.offer(job("j" + k, 1, 500 * MILLISECOND));
         }
         timeline.advance(2 * SECOND);
-        assertThat(callbacks).filteredOn(w -> w.endsWith("done 2088")).hasSize(8);
+        assertThat(callbacks).filteredOn(c -> c.endsWith("done 2088")).hasSize(8);
     }
 
     @Test
-    void fallsOverWhenTooMuchComesWhileItIsCold() {
+    void failsWhenOverloadedWhileCold() {
         WorkerModel node = node(4, 1, 100, false);
         node.crash();
         node.restart();
-        // Three times 0.2 of 4 cores for 2 s is 9.6 usual jobs of 0.5 s; with 3 sqrt(9.6) + 3 for chance, 21.9 of them.
+        // 3 times 0.2 of 4 cores for 2 s is 9.6 mean jobs of 0.5 s; with the allowance 3 sqrt(9.6) + 3, 21.9 jobs.
         for (int k = 0; k < 21; k++) {
             node.offer(job("j" + k, 1, 500 * MILLISECOND));
         }
@@ -208,11 +211,11 @@
         assertThat(node.isUp()).isFalse();
         node.restart();
         assertThat(node.isUp()).isFalse();
-        assertThat(callbacks).filteredOn(w -> w.contains("lost")).hasSize(22);
+        assertThat(callbacks).filteredOn(c -> c.contains("lost")).hasSize(22);
     }
 
     @Test
-    void aWarmNodeMayBePushedHard() {
+    void aWarmNodeDoesNotFailFromOverload() {
         WorkerModel node = node(4, 1, 1000, false);
         for (int k = 0; k < 100; k++) {
             node.offer(job("j" + k, 1, 500 * MILLISECOND));
