--- a/src/main/java/barrowshore/emulate/Attempt.java
+++ b/src/main/java/barrowshore/emulate/Attempt.java
@@ -44,7 +44,7 @@
             return;
         }
         ended = true;
-        request.outstanding--;
+        request.openAttemptCount--;
         scheduler.outstandingSlots[node.zone] -= request.job.slots;
         if (status == Status.OK && !request.answered) {
             request.answer(Status.OK, 0);
--- a/src/main/java/barrowshore/emulate/DeploymentComparison.java
+++ b/src/main/java/barrowshore/emulate/DeploymentComparison.java
@@ -59,29 +59,29 @@
         if (count < 1) {
             throw new ConfigException("--deployments must be at least 1");
         }
-        List<Result> rows = play(count, seed, withBaselines);
-        print(out, rows, withBaselines);
+        List<Result> results = compare(count, seed, withBaselines);
+        print(out, results, withBaselines);
         if (count == 1) {
             out.println();
-            out.print(rows.get(0).module.table()); // details only for a single deployment
+            out.print(results.get(0).module.table()); // details only for a single deployment
         }
         if (csv != null) {
-            write(csv, rows);
+            write(csv, results);
         }
     }
 
-    static List<Result> play(int count, long seed, boolean withBaselines) {
+    static List<Result> compare(int count, long seed, boolean withBaselines) {
         return LongStream.range(seed, seed + count)
                 .parallel()
-                .mapToObj(s -> play(s, withBaselines))
+                .mapToObj(s -> compare(s, withBaselines))
                 .toList();
     }
 
-    private static Result play(long seed, boolean withBaselines) {
+    private static Result compare(long seed, boolean withBaselines) {
         Deployment.DrawnDeployment drawn = Deployment.draw(seed);
         Report module = new Emulation(
                         drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::productionModule)
-                .play();
+                .run();
         Map<BaselineDispatcher.Policy, Double> scores = new EnumMap<>(BaselineDispatcher.Policy.class);
         for (BaselineDispatcher.Policy policy :
                 withBaselines ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
@@ -91,7 +91,7 @@
                             OperatorSettings.NONE,
                             seed,
                             baselineFactory(policy, drawn.deployment()))
-                    .play();
+                    .run();
             scores.put(policy, report.violationCount() > 0 ? 0 : report.score());
         }
         return new Result(seed, drawn, module, scores);
@@ -110,25 +110,26 @@
                         trueState.expectedStartDelay(worker, slots) + meanWork / trueState.slotSpeed(worker, slots));
     }
 
-    private static void print(PrintStream out, List<Result> rows, boolean withBaselines) {
-        int broken =
-                (int) rows.stream().filter(r -> r.module.violationCount() > 0).count();
-        double mean = rows.stream().mapToDouble(Result::score).average().orElse(0);
+    private static void print(PrintStream out, List<Result> results, boolean withBaselines) {
+        int violating = (int)
+                results.stream().filter(r -> r.module.violationCount() > 0).count();
+        double mean = results.stream().mapToDouble(Result::score).average().orElse(0);
         out.printf(
                 Locale.ROOT,
                 "%d deployments from seed %d: worth served less deductions %.3f on average; rules broken on %d%n",
-                rows.size(),
-                rows.get(0).seed,
+                results.size(),
+                results.get(0).seed,
                 mean,
-                broken);
+                violating);
         if (withBaselines) {
-            long ahead = rows.stream().filter(r -> r.lead() >= 0).count();
-            long behind = rows.stream().filter(r -> r.lead() < -BEHIND_MARGIN).count();
+            long ahead = results.stream().filter(r -> r.lead() >= 0).count();
+            long behind =
+                    results.stream().filter(r -> r.lead() < -BEHIND_MARGIN).count();
             out.printf(
                     Locale.ROOT,
                     "the best blind rival is beaten on %.1f%%, by %.3f on average; behind it by over %.2f on %d%n",
-                    100.0 * ahead / rows.size(),
-                    rows.stream().mapToDouble(Result::lead).average().orElse(0),
+                    100.0 * ahead / results.size(),
+                    results.stream().mapToDouble(Result::lead).average().orElse(0),
                     BEHIND_MARGIN,
                     behind);
             for (BaselineDispatcher.Policy policy : BaselineDispatcher.Policy.values()) {
@@ -136,17 +137,17 @@
                         Locale.ROOT,
                         "  %-20s %.3f%n",
                         displayName(policy),
-                        rows.stream()
+                        results.stream()
                                 .mapToDouble(r -> r.baselineScores.get(policy))
                                 .average()
                                 .orElse(0));
             }
-            printLeadByFeature(out, rows);
+            printLeadByFeature(out, results);
         }
         out.printf(
                 "%n%-6s %7s %7s %-20s %7s %s  %s%n",
                 "seed", "module", "lead", withBaselines ? "against" : "", "sighted", "rules", "what is on");
-        rows.stream()
+        results.stream()
                 .sorted(Comparator.comparingDouble(withBaselines ? Result::lead : Result::score))
                 .limit(PRINTED_DEPLOYMENTS)
                 .forEach(r -> out.printf(
@@ -162,15 +163,15 @@
     }
 
     /** Prints the module's mean lead for each feature, lowest first. */
-    private static void printLeadByFeature(PrintStream out, List<Result> rows) {
+    private static void printLeadByFeature(PrintStream out, List<Result> results) {
         Map<String, List<Double>> leads = new TreeMap<>();
-        for (Result result : rows) {
+        for (Result result : results) {
             for (String feature : result.drawn.deployment().features().split(", ")) {
                 leads.computeIfAbsent(feature.replaceAll("cross [0-9.]+ ms", "crossing"), f -> new ArrayList<>())
                         .add(result.lead());
             }
-            result.drawn.scenario().events().forEach(h -> leads.computeIfAbsent(
-                            h.type().name().toLowerCase(Locale.ROOT), f -> new ArrayList<>())
+            result.drawn.scenario().events().forEach(event -> leads.computeIfAbsent(
+                            event.type().name().toLowerCase(Locale.ROOT), f -> new ArrayList<>())
                     .add(result.lead()));
         }
         out.printf("%n%-28s %6s %10s %10s%n", "where this is on", "count", "mean lead", "behind");
@@ -205,16 +206,17 @@
                 scenario.zones().stream().mapToInt(Scenario.ZoneSpec::nodes).sum(),
                 scenario.load(),
                 scenario.events().stream()
-                        .map(h -> ", " + h.type().name().toLowerCase(Locale.ROOT))
+                        .map(event -> ", " + event.type().name().toLowerCase(Locale.ROOT))
                         .reduce("", String::concat),
                 result.drawn.deployment().features());
     }
 
-    private static void write(Path csv, List<Result> rows) throws IOException {
+    private static void write(Path csv, List<Result> results) throws IOException {
         StringBuilder text = new StringBuilder("seed,module,broken");
-        rows.get(0).baselineScores.keySet().forEach(policy -> text.append(',').append(displayName(policy)));
+        results.get(0).baselineScores.keySet().forEach(policy -> text.append(',')
+                .append(displayName(policy)));
         text.append(",what\n");
-        for (Result result : rows) {
+        for (Result result : results) {
             text.append(String.format(
                     Locale.ROOT, "%d,%.4f,%d", result.seed, result.score(), result.module.violationCount()));
             result.baselineScores.values().forEach(score -> text.append(String.format(Locale.ROOT, ",%.4f", score)));
--- a/src/main/java/barrowshore/emulate/EmulatedNode.java
+++ b/src/main/java/barrowshore/emulate/EmulatedNode.java
@@ -62,13 +62,13 @@
         weight = registeredSize();
         Deployment.Visibility visibility = deployment.visibility();
         long
-                period =
+                periodMicros =
                         (long) random.faultUniform(
                                 visibility.reportPeriodMicros()[0], visibility.reportPeriodMicros()[1]),
-                delay =
+                delayMicros =
                         (long) random.faultUniform(
                                 visibility.reportDelayMicros()[0], visibility.reportDelayMicros()[1]);
-        clock.runAfter((long) (random.faults.nextDouble() * period), () -> reportLoad(period, delay));
+        clock.runAfter((long) (random.faults.nextDouble() * periodMicros), () -> reportLoad(periodMicros, delayMicros));
     }
 
     /** Publishes the present load, and a live weight, after the reporting delay; repeats every period. */
@@ -116,7 +116,7 @@
     }
 
     boolean isReachableFrom(EmulatedScheduler scheduler) {
-        return !disconnected && !scheduler.cutFrom.contains(zone);
+        return !disconnected && !scheduler.unreachableZones.contains(zone);
     }
 
     /** Announces a health through service discovery after a delay, to each scheduler at a slightly different time. */
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -39,11 +39,16 @@
 
     final int number;
     final int zone;
-    final Set<Integer> cutFrom = new HashSet<>();
+    /** Zones that this scheduler alone cannot reach. */
+    final Set<Integer> unreachableZones = new HashSet<>();
+    /** Slots of open attempts by zone. */
     final double[] outstandingSlots;
+
     final Map<String, Health> listedHealth = new HashMap<>();
     final Map<String, Long> listedStartTimes = new HashMap<>();
+    /** Hall states at the latest sample, to report changes. */
     List<HallState> sampledHallStates = List.of();
+
     private final Map<String, OpenRequest> requests = new HashMap<>();
     private final List<Runnable>[] heldMessages;
     private DispatchApi module;
@@ -189,7 +194,7 @@
             if (!isIncarnation(sentIn)) {
                 return;
             }
-            if (cutFrom.contains(fromZone)) {
+            if (unreachableZones.contains(fromZone)) {
                 heldMessages[fromZone] = heldMessages[fromZone] == null ? new ArrayList<>() : heldMessages[fromZone];
                 heldMessages[fromZone].add(action);
             } else {
@@ -246,13 +251,13 @@
             return;
         }
         report.forbiddenActions +=
-                request.attempts.size() >= settings.maxAttempts || request.outstanding > 0 && !settings.mayHedge
+                request.attempts.size() >= settings.maxAttempts || request.openAttemptCount > 0 && !settings.mayHedge
                         ? 1
                         : 0;
         Attempt attempt = new Attempt(emulation, this, request, request.attempts.size(), node);
         attempt.fails = random.other.nextDouble() < node.errorShare;
         request.attempts.add(attempt);
-        request.outstanding++;
+        request.openAttemptCount++;
         outstandingSlots[node.zone] += request.job.slots;
         HallState hallState = emulation.operator.halls() == null
                 ? HallState.SERVING
--- a/src/main/java/barrowshore/emulate/Emulation.java
+++ b/src/main/java/barrowshore/emulate/Emulation.java
@@ -112,7 +112,7 @@
     }
 
     /** Runs the scenario and returns its results. */
-    Report play() {
+    Report run() {
         schedulers.forEach(EmulatedScheduler::start);
         scenario.events().forEach(new FaultInjector(this)::schedule);
         // Clients start a second later, when the schedulers have started.
@@ -133,25 +133,25 @@
         report.loadBalance.addSample(nodes.stream().map(EmulatedNode::sample).toList(), schedulers.size());
         int zones = scenario.zones().size();
         double[] spilledSlots = new double[zones], usableSlots = new double[zones];
-        for (EmulatedNode n : nodes) {
-            if (n.model.isUp() && !n.disconnected) {
-                usableSlots[n.zone] += n.model.spec().cores();
+        for (EmulatedNode node : nodes) {
+            if (node.model.isUp() && !node.disconnected) {
+                usableSlots[node.zone] += node.model.spec().cores();
             }
         }
-        for (EmulatedScheduler s : schedulers) {
-            if (s.isUp()) {
+        for (EmulatedScheduler scheduler : schedulers) {
+            if (scheduler.isUp()) {
                 for (int z = 0; z < zones; z++) {
-                    spilledSlots[z] += z == s.zone ? 0 : s.outstandingSlots[z];
+                    spilledSlots[z] += z == scheduler.zone ? 0 : scheduler.outstandingSlots[z];
                 }
-                List<HallState> hallStates = s.module().hallStates();
-                if (!hallStates.equals(s.sampledHallStates)) {
+                List<HallState> hallStates = scheduler.module().hallStates();
+                if (!hallStates.equals(scheduler.sampledHallStates)) {
                     report.recordHallStates(
                             clock.now() - START_MICROS,
-                            s.number,
-                            s.sampledHallStates,
+                            scheduler.number,
+                            scheduler.sampledHallStates,
                             hallStates,
                             scenario.zoneNames());
-                    s.sampledHallStates = hallStates;
+                    scheduler.sampledHallStates = hallStates;
                 }
             }
         }
--- a/src/main/java/barrowshore/emulate/Emulator.java
+++ b/src/main/java/barrowshore/emulate/Emulator.java
@@ -14,8 +14,8 @@
     private Emulator() {}
 
     /** Runs a scenario on the first site's deployment with the operators' settings. */
-    public static Report play(Scenario scenario, OperatorSettings operator, long seed) {
-        return new Emulation(scenario, Deployment.FIRST_SITE, operator, seed, Emulator::productionModule).play();
+    public static Report run(Scenario scenario, OperatorSettings operator, long seed) {
+        return new Emulation(scenario, Deployment.FIRST_SITE, operator, seed, Emulator::productionModule).run();
     }
 
     /** Creates the production module. */
--- a/src/main/java/barrowshore/emulate/FaultInjector.java
+++ b/src/main/java/barrowshore/emulate/FaultInjector.java
@@ -31,9 +31,9 @@
                 }
                 case CUT -> {
                     EmulatedScheduler scheduler = emulation.schedulers.get(event.scheduler());
-                    scheduler.cutFrom.add(event.zone());
+                    scheduler.unreachableZones.add(event.zone());
                     clock.runAfter(event.durationMicros(), () -> {
-                        scheduler.cutFrom.remove(event.zone());
+                        scheduler.unreachableZones.remove(event.zone());
                         scheduler.deliverHeld(event.zone());
                     });
                 }
--- a/src/main/java/barrowshore/emulate/OpenRequest.java
+++ b/src/main/java/barrowshore/emulate/OpenRequest.java
@@ -14,7 +14,7 @@
     final String id;
     final long deadline;
     final List<Attempt> attempts = new ArrayList<>(2);
-    int outstanding;
+    int openAttemptCount;
     boolean answered;
 
     OpenRequest(Emulation emulation, EmulatedScheduler scheduler, ClientJob job, String id, long deadline) {
@@ -81,7 +81,7 @@
 
     /** Removes the request from its scheduler once it is answered and has no open attempt. */
     void releaseIfFinished() {
-        if (answered && outstanding == 0) {
+        if (answered && openAttemptCount == 0) {
             scheduler.forget(this);
         }
     }
--- a/src/main/java/barrowshore/emulate/Report.java
+++ b/src/main/java/barrowshore/emulate/Report.java
@@ -31,14 +31,14 @@
     private final double[] offeredWorthByClass;
     private final double[] servedWorthByClass;
     private final List<Histogram> answerTimes = new ArrayList<>();
-    private final double[] mostSpilledSlots;
-    private final double[] mostSpillShare;
+    private final double[] maxSpilledSlots;
+    private final double[] maxSpillShare;
     private final List<ZoneOutage> outages = new ArrayList<>();
     private final List<String> hallStateChanges = new ArrayList<>();
     private final List<String> logLines = new ArrayList<>();
     private long sendsToDark;
     private long trialsOfDark;
-    private long mostHungInZone;
+    private long maxHungInZone;
     private long sendsDuringOutages;
     private long refusals;
     private long failures;
@@ -78,8 +78,8 @@
         offeredWorthByClass = new double[classNames.size()];
         servedWorthByClass = new double[classNames.size()];
         classNames.forEach(c -> answerTimes.add(new Histogram(MAX_ANSWER_MICROS, 2)));
-        mostSpilledSlots = new double[zones];
-        mostSpillShare = new double[zones];
+        maxSpilledSlots = new double[zones];
+        maxSpillShare = new double[zones];
     }
 
     void recordOffered(long at, int zone, int classIndex, double worth, double slotWork) {
@@ -131,7 +131,7 @@
 
     /** Notes how many nodes of a zone hang at once through random faults. */
     void recordHung(int zone, long count) {
-        mostHungInZone = Math.max(mostHungInZone, count);
+        maxHungInZone = Math.max(maxHungInZone, count);
     }
 
     void recordOutage(int zone, long from, long duration, double nodeShare) {
@@ -139,9 +139,9 @@
     }
 
     void recordSpill(int zone, double slots, double usableSlots) {
-        mostSpilledSlots[zone] = Math.max(mostSpilledSlots[zone], slots);
+        maxSpilledSlots[zone] = Math.max(maxSpilledSlots[zone], slots);
         if (usableSlots > 0) {
-            mostSpillShare[zone] = Math.max(mostSpillShare[zone], slots / usableSlots);
+            maxSpillShare[zone] = Math.max(maxSpillShare[zone], slots / usableSlots);
         }
     }
 
@@ -241,8 +241,8 @@
         return hallStateChangeCount;
     }
 
-    double mostSpillShare(int zone) {
-        return mostSpillShare[zone];
+    double maxSpillShare(int zone) {
+        return maxSpillShare[zone];
     }
 
     List<String> hallStateChangeLines() {
@@ -291,8 +291,8 @@
                 windows.add(round(servedShare(z, from, from + 5)));
             }
             entry.put("dinersBy5s", windows.toArray());
-            entry.put("mostSpilledSlots", round(mostSpilledSlots[z]));
-            entry.put("mostSpilledShare", round(mostSpillShare[z]));
+            entry.put("mostSpilledSlots", round(maxSpilledSlots[z]));
+            entry.put("mostSpilledShare", round(maxSpillShare[z]));
             zones.put(scenario.zones().get(z).name(), entry);
         }
         report.put("halls", zones);
@@ -331,7 +331,7 @@
         report.put("messages", messageCount);
         report.put("messageBytes", messageBytes);
         report.put("longestMessage", longestMessage);
-        report.put("mostHungInAHall", mostHungInZone);
+        report.put("mostHungInAHall", maxHungInZone);
         report.put("events", eventCount);
         report.put("moves", hallStateChanges);
         return report;
@@ -366,8 +366,8 @@
                     "%-16s %8.3f %14.1f %14.2f%n",
                     scenario.zones().get(z).name(),
                     servedShare(z),
-                    mostSpilledSlots[z],
-                    mostSpillShare[z]));
+                    maxSpilledSlots[z],
+                    maxSpillShare[z]));
         }
         out.append(String.format(
                 Locale.ROOT,
--- a/src/main/java/barrowshore/emulate/ScenarioRunner.java
+++ b/src/main/java/barrowshore/emulate/ScenarioRunner.java
@@ -39,8 +39,8 @@
         if (compare && operator.halls() == null) {
             throw new ConfigException("--compare needs --operator with halls: without them both runs are the same");
         }
-        List<Report> on = play(scenario, operator, seed, seeds);
-        List<Report> off = compare ? play(scenario, OperatorSettings.NONE, seed, seeds) : List.of();
+        List<Report> on = runSeeds(scenario, operator, seed, seeds);
+        List<Report> off = compare ? runSeeds(scenario, OperatorSettings.NONE, seed, seeds) : List.of();
         if (seeds == 1) {
             out.print(on.get(0).table());
             off.forEach(report -> out.print("without the operators' settings:\n" + report.table()));
@@ -54,7 +54,7 @@
                 int zone = z;
                 String name = scenario.zones().get(z).name();
                 printRow(out, "diners of " + name + " (least)", r -> r.servedShare(zone), false, on, off);
-                printRow(out, "spilled into " + name + " (most)", r -> r.mostSpillShare(zone), true, on, off);
+                printRow(out, "spilled into " + name + " (most)", r -> r.maxSpillShare(zone), true, on, off);
             }
             printRow(out, "to a dark hall after 2 s (most)", Report::darkSendShare, true, on, off);
             printRow(out, "trials of a dark hall (most)", Report::darkTrialShare, true, on, off);
@@ -78,11 +78,11 @@
         }
     }
 
-    private static List<Report> play(Scenario scenario, OperatorSettings operator, long seed, int seeds) {
+    private static List<Report> runSeeds(Scenario scenario, OperatorSettings operator, long seed, int seeds) {
         Report[] reports = new Report[seeds];
         LongStream.range(0, seeds)
                 .parallel()
-                .forEach(k -> reports[(int) k] = Emulator.play(scenario, operator, seed + k));
+                .forEach(k -> reports[(int) k] = Emulator.run(scenario, operator, seed + k));
         return Arrays.asList(reports);
     }
 
--- a/src/main/java/barrowshore/model/WorkerModel.java
+++ b/src/main/java/barrowshore/model/WorkerModel.java
@@ -279,9 +279,9 @@
                     (allowedJobs + RANDOM_ARRIVAL_ALLOWANCE * Math.sqrt(allowedJobs) + RANDOM_ARRIVAL_ALLOWANCE)
                             * overloadLimit.meanJobWork();
             double workSinceStart = 0, informedWork = 0;
-            for (Arrival a : arrivals) {
-                workSinceStart += a.at() >= startedAt ? a.work() : 0;
-                informedWork += a.at() >= startedAt && a.senderKnew() ? a.work() : 0;
+            for (Arrival arrival : arrivals) {
+                workSinceStart += arrival.at() >= startedAt ? arrival.work() : 0;
+                informedWork += arrival.at() >= startedAt && arrival.senderKnew() ? arrival.work() : 0;
             }
             coldBudgetUsed = Math.max(coldBudgetUsed, informedWork / workLimit);
             if (workSinceStart > workLimit) {
--- a/src/test/java/barrowshore/emulate/ColdFleetTest.java
+++ b/src/test/java/barrowshore/emulate/ColdFleetTest.java
@@ -67,7 +67,7 @@
         int calls = 0;
         for (int seed = 0; seed < SEED_COUNT; seed++) {
             Fleet fleet = new Fleet(slots, work, seed, restartIntervalMicros, upgradeIntervalMicros);
-            fleet.play();
+            fleet.run();
             calls += fleet.count.calls;
             fullest = fleet.count.budgetUsed > fullest.budgetUsed ? fleet.count : fullest;
         }
@@ -232,7 +232,7 @@
             return new SchedulerProcess(settings, clockSkews[index], now, server);
         }
 
-        void play() {
+        void run() {
             for (long now = SERVER_START_MICROS + STEP_MICROS;
                     now < SERVER_START_MICROS + WARM_UP_MICROS;
                     now += STEP_MICROS) {
--- a/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
+++ b/src/test/java/barrowshore/emulate/DeploymentComparisonTest.java
@@ -22,26 +22,26 @@
 
 /** Random deployments: the module violates no rule on any of them, and the emulation detects violations by others. */
 class DeploymentComparisonTest {
-    private static Report play(long seed, Emulation.ModuleFactory modules) {
+    private static Report run(long seed, Emulation.ModuleFactory moduleFactory) {
         Deployment.DrawnDeployment drawn = Deployment.draw(seed);
-        return new Emulation(drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, modules).play();
+        return new Emulation(drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, moduleFactory).run();
     }
 
     /** A baseline policy that works with other settings than those in force. */
     private static Emulation.ModuleFactory withWrongSettings(Consumer<Settings> change) {
-        return (settings, actions, truth) -> {
-            Settings believed = new Settings();
-            believed.copyIdentityFrom(settings);
-            believed.copyReloadableFrom(settings);
-            change.accept(believed);
+        return (settings, actions, trueState) -> {
+            Settings wrongSettings = new Settings();
+            wrongSettings.copyIdentityFrom(settings);
+            wrongSettings.copyReloadableFrom(settings);
+            change.accept(wrongSettings);
             return new BaselineDispatcher(
-                    Policy.RANDOM, believed, actions, new SplittableRandom(settings.seed)::nextDouble, null);
+                    Policy.RANDOM, wrongSettings, actions, new SplittableRandom(settings.seed)::nextDouble, null);
         };
     }
 
     @Test
     void noRuleIsViolatedOnAnyDeployment() {
-        assertThat(DeploymentComparison.play(150, 1, false))
+        assertThat(DeploymentComparison.compare(150, 1, false))
                 .allSatisfy(row -> assertThat(row.module().violations())
                         .as("seed %d: %s", row.seed(), row.drawn().deployment().features())
                         .isEmpty());
@@ -49,7 +49,7 @@
 
     @Test
     void everyBaselineKeepsTheRules() {
-        List<DeploymentComparison.Result> rows = DeploymentComparison.play(40, 1, true);
+        List<DeploymentComparison.Result> rows = DeploymentComparison.compare(40, 1, true);
         assertThat(rows).allSatisfy(row -> assertThat(row.baselineScores()).hasSize(Policy.values().length));
         // A score of 0 means a violated rule: the random slow start of baselines may now and then overload a cold node.
         assertThat(rows.stream()
@@ -62,18 +62,18 @@
     @Test
     void offeredWorkDoesNotDependOnTheModule() {
         for (long seed : new long[] {3, 4, 5}) {
-            double offered = play(seed, Emulator::productionModule).offeredWorth();
-            assertThat(play(seed, withWrongSettings(s -> {})).offeredWorth()).isEqualTo(offered);
-            assertThat(new JSON().toJSON(play(seed, Emulator::productionModule).json()))
+            double offered = run(seed, Emulator::productionModule).offeredWorth();
+            assertThat(run(seed, withWrongSettings(s -> {})).offeredWorth()).isEqualTo(offered);
+            assertThat(new JSON().toJSON(run(seed, Emulator::productionModule).json()))
                     .isEqualTo(new JSON()
-                            .toJSON(play(seed, Emulator::productionModule).json()));
+                            .toJSON(run(seed, Emulator::productionModule).json()));
         }
     }
 
     @Test
     void duplicateRunsAreDetected() {
         assertThat(LongStream.range(1, 40)
-                        .mapToObj(seed -> play(
+                        .mapToObj(seed -> run(
                                 seed,
                                 withWrongSettings(s -> s.classes = Arrays.stream(s.classes)
                                         .map(c -> new JobClass(
@@ -89,15 +89,15 @@
                                                 0))
                                         .toArray(JobClass[]::new))))
                         .map(Report::violations))
-                .anyMatch(rules -> rules.contains("ran twice"));
+                .anyMatch(violations -> violations.contains("ran twice"));
     }
 
     @Test
     void forbiddenActionsAreDetected() {
         assertThat(LongStream.range(1, 40)
-                        .mapToObj(seed -> play(seed, withWrongSettings(s -> s.maxAttempts = 9)))
+                        .mapToObj(seed -> run(seed, withWrongSettings(s -> s.maxAttempts = 9)))
                         .map(Report::violations))
-                .anyMatch(rules -> rules.contains("not allowed"));
+                .anyMatch(violations -> violations.contains("not allowed"));
     }
 
     @Test
--- a/src/test/java/barrowshore/emulate/EmulatorPropertyTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorPropertyTest.java
@@ -73,7 +73,7 @@
      */
     @Property(tries = 80, seed = "20261201")
     void noRuleIsViolatedWhateverHappens(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int eventCount) {
-        Report report = Emulator.play(randomScenario(new Random(seed), eventCount), HALLS_ON, seed);
+        Report report = Emulator.run(randomScenario(new Random(seed), eventCount), HALLS_ON, seed);
         assertThat(report.duplicateRuns).as("ran twice").isZero();
         assertThat(report.missedDeadlines)
                 .as("no answer of the module's in time")
--- a/src/test/java/barrowshore/emulate/EmulatorTest.java
+++ b/src/test/java/barrowshore/emulate/EmulatorTest.java
@@ -33,11 +33,11 @@
         }
     }
 
-    private static List<Report> play(String file, OperatorSettings operator, int seeds) {
+    private static List<Report> run(String file, OperatorSettings operator, int seeds) {
         Scenario scenario = Scenario.read(SCENARIOS.resolve(file));
         return LongStream.rangeClosed(1, seeds)
                 .parallel()
-                .mapToObj(s -> Emulator.play(scenario, operator, s))
+                .mapToObj(s -> Emulator.run(scenario, operator, s))
                 .toList();
     }
 
@@ -45,7 +45,7 @@
     @MethodSource("scenarios")
     void noRuleIsViolatedWithHallsOnOrOff(String file) {
         for (OperatorSettings operator : List.of(HALLS_ON, OperatorSettings.NONE)) {
-            assertThat(play(file, operator, 2)).allSatisfy(r -> {
+            assertThat(run(file, operator, 2)).allSatisfy(r -> {
                 assertThat(r.violationCount()).as(r.table()).isZero();
                 assertThat(r.coldBudgetUsed()).isLessThan(1);
                 assertThat(r.longestMessage).isLessThanOrEqualTo(256);
@@ -57,15 +57,15 @@
     @Test
     void sameSeedGivesSameRun() {
         for (String file : List.of("hall-flap.xml", "hall-fresh.xml")) {
-            String once = new JSON().toJSON(play(file, HALLS_ON, 1).get(0).json());
-            assertThat(new JSON().toJSON(play(file, HALLS_ON, 1).get(0).json())).isEqualTo(once);
+            String once = new JSON().toJSON(run(file, HALLS_ON, 1).get(0).json());
+            assertThat(new JSON().toJSON(run(file, HALLS_ON, 1).get(0).json())).isEqualTo(once);
         }
     }
 
     /** Fourteen schedulers share nodes that restart cold: the nodes are used, and the cold budget is never exceeded. */
     @Test
     void coldNodesAreSharedByAFleetWithoutOverload() {
-        for (Report r : play("fleet-cold.xml", OperatorSettings.NONE, 4)) {
+        for (Report r : run("fleet-cold.xml", OperatorSettings.NONE, 4)) {
             assertThat(r.overloadedNodes()).as(r.table()).isZero();
             assertThat(r.coldBudgetUsed()).as(r.table()).isBetween(0.1, 1.0);
         }
@@ -73,7 +73,7 @@
 
     @Test
     void aDarkHallGetsAlmostNoJobsAndReturns() {
-        for (Report r : play("hall-dark.xml", HALLS_ON, 4)) {
+        for (Report r : run("hall-dark.xml", HALLS_ON, 4)) {
             assertThat(r.darkSendShare()).as(r.table()).isLessThan(0.03);
             assertThat(r.hallStateChangeLines())
                     .anyMatch(l -> l.contains("hala-a dark"))
@@ -85,23 +85,23 @@
 
     @Test
     void faultsOfSingleNodesChangeNoHallState() {
-        assertThat(play("single-nodes.xml", HALLS_ON, 20))
+        assertThat(run("single-nodes.xml", HALLS_ON, 20))
                 .allSatisfy(
                         r -> assertThat(r.hallStateChangeCount()).as(r.table()).isZero());
     }
 
     @Test
-    void aPlannedDrainChangesNoHallState() {
-        assertThat(play("hall-planned.xml", HALLS_ON, 4)).allSatisfy(r -> assertThat(r.hallStateChangeLines())
+    void aPlannedDrainIsNotTakenForAnOutage() {
+        assertThat(run("hall-planned.xml", HALLS_ON, 4)).allSatisfy(r -> assertThat(r.hallStateChangeLines())
                 .noneMatch(l -> l.contains("doubted") || l.contains("held")));
     }
 
     @Test
     void spillIntoTheRemainingHallIsBounded() {
-        List<Report> on = play("hall-burst.xml", HALLS_ON, 8), off = play("hall-burst.xml", OperatorSettings.NONE, 8);
+        List<Report> on = run("hall-burst.xml", HALLS_ON, 8), off = run("hall-burst.xml", OperatorSettings.NONE, 8);
         // The limit is a share of the existing slots; high load must not make the estimate of slots larger.
         assertThat(on)
-                .allSatisfy(r -> assertThat(r.mostSpillShare(1)).as(r.table()).isLessThanOrEqualTo(1));
+                .allSatisfy(r -> assertThat(r.maxSpillShare(1)).as(r.table()).isLessThanOrEqualTo(1));
         assertThat(on.stream().mapToDouble(r -> r.servedShare(1)).sum())
                 .isGreaterThan(off.stream().mapToDouble(r -> r.servedShare(1)).sum());
         assertThat(on.stream().mapToDouble(Report::servedWorthShare).sum())
--- a/src/test/java/barrowshore/emulate/LoadBalanceStatsTest.java
+++ b/src/test/java/barrowshore/emulate/LoadBalanceStatsTest.java
@@ -15,7 +15,7 @@
             LOST_NODE = new NodeSample(0, 4, 0);
     private final LoadBalanceStats stats = new LoadBalanceStats();
 
-    private void playOneSecond(List<NodeSample> nodes, int... nodeByScheduler) {
+    private void simulateOneSecond(List<NodeSample> nodes, int... nodeByScheduler) {
         for (int k = 0; k < 10; k++) {
             for (int scheduler = 0; scheduler < nodeByScheduler.length; scheduler++) {
                 stats.recordArrival(nodeByScheduler[scheduler], scheduler, 100_000);
@@ -26,7 +26,7 @@
 
     @Test
     void anEvenSpreadHasNoVariation() {
-        playOneSecond(Collections.nCopies(4, IDLE_NODE), 0, 1, 2, 3);
+        simulateOneSecond(Collections.nCopies(4, IDLE_NODE), 0, 1, 2, 3);
         assertThat(stats.shortWindowVariation()).isZero();
         assertThat(stats.longWindowVariation()).isZero();
         assertThat(stats.longWindowPeak()).isEqualTo(1);
@@ -36,7 +36,7 @@
 
     @Test
     void crowdingOnOneNodeIsDetected() {
-        playOneSecond(List.of(FULL_NODE, IDLE_NODE, IDLE_NODE, IDLE_NODE), 0, 0, 0, 0);
+        simulateOneSecond(List.of(FULL_NODE, IDLE_NODE, IDLE_NODE, IDLE_NODE), 0, 0, 0, 0);
         assertThat(stats.longWindowPeak()).isEqualTo(4);
         assertThat(stats.longWindowVariation()).isCloseTo(Math.sqrt(3), within(1e-9));
         assertThat(stats.idleWhileOthersQueue())
@@ -47,7 +47,7 @@
 
     @Test
     void lostNodesAreNotCounted() {
-        playOneSecond(List.of(IDLE_NODE, IDLE_NODE, LOST_NODE, FULL_NODE), 0, 1, 3, 3);
+        simulateOneSecond(List.of(IDLE_NODE, IDLE_NODE, LOST_NODE, FULL_NODE), 0, 1, 3, 3);
         assertThat(stats.longWindowPeak()).isCloseTo(1.5, within(1e-9));
         assertThat(stats.idleWhileOthersQueue()).isEqualTo(2);
     }
--- a/src/test/java/barrowshore/model/WorkerModelTest.java
+++ b/src/test/java/barrowshore/model/WorkerModelTest.java
@@ -63,38 +63,38 @@
                 return work;
             }
 
-            private void say(String word) {
-                callbacks.add(name + " " + word + " " + (timeline.now() - 100 * SECOND) / MILLISECOND);
+            private void logCallback(String callback) {
+                callbacks.add(name + " " + callback + " " + (timeline.now() - 100 * SECOND) / MILLISECOND);
             }
 
             @Override
             public void started() {
-                say("started");
+                logCallback("started");
             }
 
             @Override
             public void progress(double share) {
-                say("at " + Math.round(share * 100) + "%");
+                logCallback("at " + Math.round(share * 100) + "%");
             }
 
             @Override
             public void done() {
-                say("done");
+                logCallback("done");
             }
 
             @Override
             public void failed() {
-                say("failed");
+                logCallback("failed");
             }
 
             @Override
             public void returned() {
-                say("returned");
+                logCallback("returned");
             }
 
             @Override
             public void lost() {
-                say("lost");
+                logCallback("lost");
             }
         };
     }
