--- a/src/main/java/barrowshore/emulate/Deployment.java
+++ b/src/main/java/barrowshore/emulate/Deployment.java
@@ -92,7 +92,7 @@
     /** What schedulers may do. hedging: a second attempt while the first is open; maxAttempts: per job. */
     public record Permissions(boolean peerMessages, boolean hedging, boolean cancelling, int maxAttempts) {}
 
-    /** The least capacity of a cold machine, the longest warm-up, and the load that a cold machine fails from. */
+    /** Guaranteed capacity share after a start, longest warm-up, and the load above which a cold machine may fail. */
     public record ColdStart(
             double startCapacity, long warmUpMicros, double overloadMultiple, long overloadWindowMicros) {}
 
--- a/src/main/java/barrowshore/emulate/EmulatedNode.java
+++ b/src/main/java/barrowshore/emulate/EmulatedNode.java
@@ -26,7 +26,7 @@
     final int zone;
     final int kind;
     final int number;
-    /** Consecutive nodes share a cell. */
+    /** Nodes with consecutive numbers share a cell, whatever their zones. */
     final int cell;
 
     final WorkerModel model;
--- a/src/main/java/barrowshore/emulate/FaultInjector.java
+++ b/src/main/java/barrowshore/emulate/FaultInjector.java
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Injects one fault into a few random nodes, with the ranges seen in production (site brief, 8.2 to 8.5). kind 0:
-     * slowdown; 1: hang; 2: errors; 3: lost capacity.
+     * Injects one fault into a few random nodes, with the ranges seen in production (8.2 to 8.5 of the site's brief). kind
+     * 0: slowdown; 1: hang; 2: errors; 3: lost capacity.
      */
     private void injectRandomFault(Scenario.ScenarioEvent event) {
         clock.runAfter((long) (random.faults.nextDouble() * event.durationMicros() / 2), () -> {
--- a/src/main/java/barrowshore/emulate/Report.java
+++ b/src/main/java/barrowshore/emulate/Report.java
@@ -14,7 +14,7 @@
     private static final long SECOND = 1_000_000;
     /** Sends to a zone count as sends to a dark zone from this long after its outage began. */
     private static final long DETECTION_MICROS = 2 * SECOND;
-    /** Longest recorded answer time; longer ones count as this. */
+    /** Answer times are recorded with two significant digits, up to this; longer ones count as this. */
     private static final long MAX_ANSWER_MICROS = 60 * SECOND;
 
     private record ZoneOutage(int zone, long from, long to, double nodeShare) {}
--- a/src/main/java/barrowshore/emulate/Scenario.java
+++ b/src/main/java/barrowshore/emulate/Scenario.java
@@ -9,7 +9,8 @@
 
 /**
  * An emulated scenario: zones with their nodes, schedulers and clients, and the events that happen to them. It owns the
- * parsing of scenario files; times are microseconds from the start.
+ * parsing of scenario files. load: offered work relative to the capacity of all nodes; retries: per job; leavingShare: of
+ * requests whose client disconnects early. Times are microseconds from the start.
  */
 public record Scenario(
         String name,
