--- a/src/main/java/barrowshore/emulate/DeploymentComparison.java
+++ b/src/main/java/barrowshore/emulate/DeploymentComparison.java
@@ -18,25 +18,29 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays the module and its rivals on many drawn deployments, each on the same day, and prints where the module loses, worst
- * first, with what is on there. It owns what is printed and written, and judges by worth served in time less deductions,
- * a broken rule making that 0; it must never leave a deployment out.
+ * Runs the module and the baseline policies on many random deployments, each with the same scenario, and prints where the
+ * module does worst, with the features of the deployment. It owns the output and the score: worth served in time less
+ * deductions, or 0 if a rule was violated. It never leaves a deployment out of the averages.
  */
 public final class DeploymentComparison {
-    /** How many deployments are printed by default, and how far behind a rival counts as lost. */
-    private static final int SHOWN = 20;
+    private static final int PRINTED_DEPLOYMENTS = 20;
 
-    private static final double MISSED = 0.03;
+    /** A module that trails the best baseline by more than this score is counted as behind. */
+    private static final double BEHIND_MARGIN = 0.03;
 
-    /** One deployment: what each made of its day; score 0 where a rule was broken. */
-    record Row(long seed, Deployment.Drawn drawn, Report module, Map<BaselineDispatcher.Policy, Double> rivals) {
+    /** The scores on one deployment; 0 where a rule was violated. */
+    record Result(
+            long seed,
+            Deployment.DrawnDeployment drawn,
+            Report module,
+            Map<BaselineDispatcher.Policy, Double> baselineScores) {
         double score() {
-            return module.broken() > 0 ? 0 : module.priced();
+            return module.violationCount() > 0 ? 0 : module.score();
         }
 
-        /** The best that does not see true state. */
-        BaselineDispatcher.Policy best() {
-            return rivals.entrySet().stream()
+        /** The best baseline that does not see the true state. */
+        BaselineDispatcher.Policy bestBaseline() {
+            return baselineScores.entrySet().stream()
                     .filter(e -> e.getKey() != BaselineDispatcher.Policy.TRUE_STATE)
                     .max(Map.Entry.comparingByValue())
                     .orElseThrow()
@@ -44,127 +48,131 @@
         }
 
         double lead() {
-            return rivals.isEmpty() ? 0 : score() - rivals.get(best());
+            return baselineScores.isEmpty() ? 0 : score() - baselineScores.get(bestBaseline());
         }
     }
 
     private DeploymentComparison() {}
 
-    /** Plays so many deployments from a seed on; csv null: nothing is written. */
-    public static void run(PrintStream out, int count, long seed, boolean rivals, Path csv) throws IOException {
+    /** Runs count deployments from a seed on; csv: file for the results, or null. */
+    public static void run(PrintStream out, int count, long seed, boolean withBaselines, Path csv) throws IOException {
         if (count < 1) {
             throw new ConfigException("--deployments must be at least 1");
         }
-        List<Row> rows = play(count, seed, rivals);
-        print(out, rows, rivals);
+        List<Result> results = compare(count, seed, withBaselines);
+        print(out, results, withBaselines);
         if (count == 1) {
             out.println();
-            out.print(rows.get(0).module.table()); // one alone is looked at closely
+            out.print(results.get(0).module.table()); // details only for a single deployment
         }
         if (csv != null) {
-            write(csv, rows);
+            write(csv, results);
         }
     }
 
-    static List<Row> play(int count, long seed, boolean rivals) {
+    static List<Result> compare(int count, long seed, boolean withBaselines) {
         return LongStream.range(seed, seed + count)
                 .parallel()
-                .mapToObj(s -> play(s, rivals))
+                .mapToObj(s -> compare(s, withBaselines))
                 .toList();
     }
 
-    private static Row play(long seed, boolean rivals) {
-        Deployment.Drawn drawn = Deployment.draw(seed);
-        Report module =
-                new World(drawn.day(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::module).play();
+    private static Result compare(long seed, boolean withBaselines) {
+        Deployment.DrawnDeployment drawn = Deployment.draw(seed);
+        Report module = new Emulation(
+                        drawn.scenario(), drawn.deployment(), OperatorSettings.NONE, seed, Emulator::productionModule)
+                .run();
         Map<BaselineDispatcher.Policy, Double> scores = new EnumMap<>(BaselineDispatcher.Policy.class);
-        for (BaselineDispatcher.Policy rule :
-                rivals ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
-            Report r = new World(
-                            drawn.day(),
+        for (BaselineDispatcher.Policy policy :
+                withBaselines ? BaselineDispatcher.Policy.values() : new BaselineDispatcher.Policy[0]) {
+            Report report = new Emulation(
+                            drawn.scenario(),
                             drawn.deployment(),
                             OperatorSettings.NONE,
                             seed,
-                            rival(rule, drawn.deployment()))
-                    .play();
-            scores.put(rule, r.broken() > 0 ? 0 : r.priced());
+                            baselineFactory(policy, drawn.deployment()))
+                    .run();
+            scores.put(policy, report.violationCount() > 0 ? 0 : report.score());
         }
-        return new Row(seed, drawn, module, scores);
+        return new Result(seed, drawn, module, scores);
     }
 
-    private static World.Modules rival(BaselineDispatcher.Policy rule, Deployment deployment) {
+    private static Emulation.ModuleFactory baselineFactory(BaselineDispatcher.Policy policy, Deployment deployment) {
         double meanWork = deployment.classes().stream()
-                .mapToDouble(k -> k.share() * k.work())
+                .mapToDouble(jobClass -> jobClass.share() * jobClass.meanWork())
                 .sum();
-        return (settings, actions, truth) -> new BaselineDispatcher(
-                rule,
+        return (settings, actions, trueState) -> new BaselineDispatcher(
+                policy,
                 settings,
                 actions,
                 new SplittableRandom(settings.seed)::nextDouble,
-                (worker, slots) -> truth.startsIn(worker, slots) + meanWork / truth.pace(worker, slots));
+                (worker, slots) ->
+                        trueState.expectedStartDelay(worker, slots) + meanWork / trueState.slotSpeed(worker, slots));
     }
 
-    private static void print(PrintStream out, List<Row> rows, boolean rivals) {
-        int broken = (int) rows.stream().filter(r -> r.module.broken() > 0).count();
-        double mean = rows.stream().mapToDouble(Row::score).average().orElse(0);
+    private static void print(PrintStream out, List<Result> results, boolean withBaselines) {
+        int violating = (int)
+                results.stream().filter(r -> r.module.violationCount() > 0).count();
+        double mean = results.stream().mapToDouble(Result::score).average().orElse(0);
         out.printf(
                 Locale.ROOT,
                 "%d deployments from seed %d: worth served less deductions %.3f on average; rules broken on %d%n",
-                rows.size(),
-                rows.get(0).seed,
+                results.size(),
+                results.get(0).seed,
                 mean,
-                broken);
-        if (rivals) {
-            long ahead = rows.stream().filter(r -> r.lead() >= 0).count();
-            long missed = rows.stream().filter(r -> r.lead() < -MISSED).count();
+                violating);
+        if (withBaselines) {
+            long ahead = results.stream().filter(r -> r.lead() >= 0).count();
+            long behind =
+                    results.stream().filter(r -> r.lead() < -BEHIND_MARGIN).count();
             out.printf(
                     Locale.ROOT,
                     "the best blind rival is beaten on %.1f%%, by %.3f on average; behind it by over %.2f on %d%n",
-                    100.0 * ahead / rows.size(),
-                    rows.stream().mapToDouble(Row::lead).average().orElse(0),
-                    MISSED,
-                    missed);
-            for (BaselineDispatcher.Policy rule : BaselineDispatcher.Policy.values()) {
+                    100.0 * ahead / results.size(),
+                    results.stream().mapToDouble(Result::lead).average().orElse(0),
+                    BEHIND_MARGIN,
+                    behind);
+            for (BaselineDispatcher.Policy policy : BaselineDispatcher.Policy.values()) {
                 out.printf(
                         Locale.ROOT,
                         "  %-20s %.3f%n",
-                        name(rule),
-                        rows.stream()
-                                .mapToDouble(r -> r.rivals.get(rule))
+                        displayName(policy),
+                        results.stream()
+                                .mapToDouble(r -> r.baselineScores.get(policy))
                                 .average()
                                 .orElse(0));
             }
-            features(out, rows);
+            printLeadByFeature(out, results);
         }
         out.printf(
                 "%n%-6s %7s %7s %-20s %7s %s  %s%n",
-                "seed", "module", "lead", rivals ? "against" : "", "sighted", "rules", "what is on");
-        rows.stream()
-                .sorted(Comparator.comparingDouble(rivals ? Row::lead : Row::score))
-                .limit(SHOWN)
+                "seed", "module", "lead", withBaselines ? "against" : "", "sighted", "rules", "what is on");
+        results.stream()
+                .sorted(Comparator.comparingDouble(withBaselines ? Result::lead : Result::score))
+                .limit(PRINTED_DEPLOYMENTS)
                 .forEach(r -> out.printf(
                         Locale.ROOT,
                         "%-6d %7.3f %7.3f %-20s %7.3f %s  %s%n",
                         r.seed,
                         r.score(),
                         r.lead(),
-                        rivals ? name(r.best()) : "",
-                        rivals ? r.rivals.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
-                        r.module.rulesBroken(),
-                        what(r)));
+                        withBaselines ? displayName(r.bestBaseline()) : "",
+                        withBaselines ? r.baselineScores.get(BaselineDispatcher.Policy.TRUE_STATE) : 0,
+                        r.module.violations(),
+                        describe(r)));
     }
 
-    /** What the module's lead is where a feature is on: the feature that costs most comes first. */
-    private static void features(PrintStream out, List<Row> rows) {
+    /** Prints the module's mean lead for each feature, lowest first. */
+    private static void printLeadByFeature(PrintStream out, List<Result> results) {
         Map<String, List<Double>> leads = new TreeMap<>();
-        for (Row r : rows) {
-            for (String feature : r.drawn.deployment().features().split(", ")) {
+        for (Result result : results) {
+            for (String feature : result.drawn.deployment().features().split(", ")) {
                 leads.computeIfAbsent(feature.replaceAll("cross [0-9.]+ ms", "crossing"), f -> new ArrayList<>())
-                        .add(r.lead());
+                        .add(result.lead());
             }
-            r.drawn.day().happenings().forEach(h -> leads.computeIfAbsent(
-                            h.what().name().toLowerCase(Locale.ROOT), f -> new ArrayList<>())
-                    .add(r.lead()));
+            result.drawn.scenario().events().forEach(event -> leads.computeIfAbsent(
+                            event.type().name().toLowerCase(Locale.ROOT), f -> new ArrayList<>())
+                    .add(result.lead()));
         }
         out.printf("%n%-28s %6s %10s %10s%n", "where this is on", "count", "mean lead", "behind");
         leads.entrySet().stream()
@@ -180,37 +188,39 @@
                                 / e.getValue().size()));
     }
 
-    private static double mean(List<Double> of) {
-        return of.stream().mapToDouble(Double::doubleValue).average().orElse(0);
+    private static double mean(List<Double> values) {
+        return values.stream().mapToDouble(Double::doubleValue).average().orElse(0);
     }
 
-    private static String name(BaselineDispatcher.Policy rule) {
-        return rule.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+    private static String displayName(BaselineDispatcher.Policy policy) {
+        return policy.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    private static String what(Row r) {
-        Scenario day = r.drawn.day();
+    private static String describe(Result result) {
+        Scenario scenario = result.drawn.scenario();
         return String.format(
                 Locale.ROOT,
                 "%d zones, %d schedulers, %d nodes, load %.2f%s; %s",
-                day.zones().size(),
-                day.schedulers(),
-                day.zones().stream().mapToInt(Scenario.ZoneSpec::nodes).sum(),
-                day.load(),
-                day.happenings().stream()
-                        .map(h -> ", " + h.what().name().toLowerCase(Locale.ROOT))
+                scenario.zones().size(),
+                scenario.schedulers(),
+                scenario.zones().stream().mapToInt(Scenario.ZoneSpec::nodes).sum(),
+                scenario.load(),
+                scenario.events().stream()
+                        .map(event -> ", " + event.type().name().toLowerCase(Locale.ROOT))
                         .reduce("", String::concat),
-                r.drawn.deployment().features());
+                result.drawn.deployment().features());
     }
 
-    private static void write(Path csv, List<Row> rows) throws IOException {
+    private static void write(Path csv, List<Result> results) throws IOException {
         StringBuilder text = new StringBuilder("seed,module,broken");
-        rows.get(0).rivals.keySet().forEach(rule -> text.append(',').append(name(rule)));
+        results.get(0).baselineScores.keySet().forEach(policy -> text.append(',')
+                .append(displayName(policy)));
         text.append(",what\n");
-        for (Row r : rows) {
-            text.append(String.format(Locale.ROOT, "%d,%.4f,%d", r.seed, r.score(), r.module.broken()));
-            r.rivals.values().forEach(score -> text.append(String.format(Locale.ROOT, ",%.4f", score)));
-            text.append(",\"").append(what(r)).append("\"\n");
+        for (Result result : results) {
+            text.append(String.format(
+                    Locale.ROOT, "%d,%.4f,%d", result.seed, result.score(), result.module.violationCount()));
+            result.baselineScores.values().forEach(score -> text.append(String.format(Locale.ROOT, ",%.4f", score)));
+            text.append(",\"").append(describe(result)).append("\"\n");
         }
         Files.writeString(csv, text);
     }
--- a/src/main/java/barrowshore/emulate/Scenario.java
+++ b/src/main/java/barrowshore/emulate/Scenario.java
@@ -8,25 +8,26 @@
 import java.util.List;
 
 /**
- * What is emulated: zones with their nodes, schedulers and clients, and what happens to them when. It owns the reading
- * of the scenario's file; times are microseconds from the start.
+ * An emulated scenario: zones with their nodes, schedulers and clients, and the events that happen to them. It owns the
+ * parsing of scenario files. load: offered work relative to the capacity of all nodes; retries: per job; leavingShare: of
+ * requests whose client disconnects early. Times are microseconds from the start.
  */
 public record Scenario(
         String name,
-        long length,
+        long lengthMicros,
         double load,
         int cores,
         int retries,
-        double loss,
-        double leaving,
+        double messageLoss,
+        double leavingShare,
         boolean probes,
         List<ZoneSpec> zones,
-        List<Happening> happenings) {
-    /** clients: the share of all clients that belong to the zone. */
+        List<ScenarioEvent> events) {
+    /** A zone; clients: its share of all clients. */
     public record ZoneSpec(String name, int nodes, int schedulers, double clients) {}
 
-    /** What a thing is that happens. */
-    public enum What {
+    /** Kind of event; named after the XML elements and values, and printed in reports. */
+    public enum EventType {
         VANISH,
         CRASH,
         RENEW,
@@ -41,17 +42,17 @@
     }
 
     /**
-     * Something that happens. spread: over how long its parts begin and end; part: of the zone's nodes; back: the share
-     * of those that ever come back; factor, scheduler and count where they mean something.
+     * An event. spreadMicros: time over which nodes are affected one by one; nodeShare: of the zone's nodes; returnShare: of
+     * the affected nodes; factor (for TROUBLES a count) and scheduler are used by some types only.
      */
-    public record Happening(
-            What what,
-            long at,
-            long lasts,
-            long spread,
+    public record ScenarioEvent(
+            EventType type,
+            long startMicros,
+            long durationMicros,
+            long spreadMicros,
             int zone,
-            double part,
-            double back,
+            double nodeShare,
+            double returnShare,
             double factor,
             int scheduler) {}
 
@@ -70,7 +71,7 @@
         List<ZoneSpec> zones = new ArrayList<>();
         for (Element e : root.childrenNamed("hall")) {
             if (zones.stream().anyMatch(z -> z.name().equals(e.get("name")))) {
-                throw e.error(file, e.get("name") + " is there twice");
+                throw e.error(file, e.get("name") + " is defined twice");
             }
             zones.add(new ZoneSpec(
                     e.get("name"), (int) e.number("nodes"), (int) e.number("schedulers"), e.number("clients")));
@@ -84,7 +85,7 @@
             }
         }
         int schedulers = zones.stream().mapToInt(ZoneSpec::schedulers).sum();
-        List<Happening> happenings = new ArrayList<>();
+        List<ScenarioEvent> events = new ArrayList<>();
         for (Element e : root.children()) {
             if (e.name().equals("hall")) {
                 continue;
@@ -100,20 +101,20 @@
             if (scheduler >= schedulers) {
                 throw e.error(file, "there is no scheduler " + scheduler + "; they are numbered from 0");
             }
-            What what =
+            EventType type =
                     switch (e.name()) {
-                        case "dark" -> What.valueOf(e.get("how").toUpperCase(java.util.Locale.ROOT));
-                        default -> What.valueOf(e.name().toUpperCase(java.util.Locale.ROOT));
+                        case "dark" -> EventType.valueOf(e.get("how").toUpperCase(java.util.Locale.ROOT));
+                        default -> EventType.valueOf(e.name().toUpperCase(java.util.Locale.ROOT));
                     };
-            happenings.add(new Happening(
-                    what,
+            events.add(new ScenarioEvent(
+                    type,
                     e.micros("at"),
                     e.micros("for"),
                     e.micros("spread"),
                     zone,
                     number(e, "part", 1),
                     number(e, "back", 1),
-                    number(e, what == What.TROUBLES ? "count" : "factor", 1),
+                    number(e, type == EventType.TROUBLES ? "count" : "factor", 1),
                     scheduler));
         }
         return new Scenario(
@@ -126,11 +127,11 @@
                 root.number("leaving"),
                 "true".equals(root.get("probes")) || "1".equals(root.get("probes")),
                 zones,
-                happenings);
+                events);
     }
 
-    private static double number(Element e, String attribute, double otherwise) {
-        return e.get(attribute) == null ? otherwise : e.number(attribute);
+    private static double number(Element e, String attribute, double defaultValue) {
+        return e.get(attribute) == null ? defaultValue : e.number(attribute);
     }
 
     int schedulers() {
--- a/src/main/java/barrowshore/emulate/ScenarioRunner.java
+++ b/src/main/java/barrowshore/emulate/ScenarioRunner.java
@@ -17,13 +17,13 @@
 import org.eclipse.jetty.util.ajax.JSON;
 
 /**
- * Plays a scenario over one seed or many and prints what came of it: a report for one, a table for many. Seeds are
- * played side by side, each in a world of its own, so their order does not show. It owns what is printed and written.
+ * Runs a scenario with one seed or several and prints the results: a report for one, a table for several. Seeds run in
+ * parallel, each in its own emulation, so their order does not matter. It owns the output.
  */
 public final class ScenarioRunner {
     private ScenarioRunner() {}
 
-    /** Plays; json null: nothing is written. */
+    /** Runs the scenario; compare: also without the operators' settings; json: file for the reports, or null. */
     public static void run(
             PrintStream out,
             Scenario scenario,
@@ -37,36 +37,36 @@
             throw new ConfigException("--seeds must be at least 1");
         }
         if (compare && operator.halls() == null) {
-            throw new ConfigException("--compare needs --operator with halls, or there is nothing to compare");
+            throw new ConfigException("--compare needs --operator with halls: without them both runs are the same");
         }
-        List<Report> on = play(scenario, operator, seed, seeds);
-        List<Report> off = compare ? play(scenario, OperatorSettings.NONE, seed, seeds) : List.of();
+        List<Report> on = runSeeds(scenario, operator, seed, seeds);
+        List<Report> off = compare ? runSeeds(scenario, OperatorSettings.NONE, seed, seeds) : List.of();
         if (seeds == 1) {
             out.print(on.get(0).table());
             off.forEach(report -> out.print("without the operators' settings:\n" + report.table()));
         } else {
             out.printf("%s, %d seeds from %d; mean, and least or most of a seed%n", scenario.name(), seeds, seed);
             out.printf("%-34s %10s %10s%s%n", "", "mean", "extreme", compare ? "   off: mean    extreme" : "");
-            row(out, "worth served (least)", Report::kept, false, on, off);
-            row(out, "less deductions (least)", Report::priced, false, on, off);
-            row(out, "worst 10 s (least)", Report::worst, false, on, off);
+            printRow(out, "worth served (least)", Report::servedWorthShare, false, on, off);
+            printRow(out, "less deductions (least)", Report::score, false, on, off);
+            printRow(out, "worst 10 s (least)", Report::worstTenSeconds, false, on, off);
             for (int z = 0; z < scenario.zones().size(); z++) {
                 int zone = z;
                 String name = scenario.zones().get(z).name();
-                row(out, "diners of " + name + " (least)", r -> r.servedShare(zone), false, on, off);
-                row(out, "spilled into " + name + " (most)", r -> r.mostSpillShare(zone), true, on, off);
+                printRow(out, "diners of " + name + " (least)", r -> r.servedShare(zone), false, on, off);
+                printRow(out, "spilled into " + name + " (most)", r -> r.maxSpillShare(zone), true, on, off);
             }
-            row(out, "to a dark hall after 2 s (most)", Report::toDark, true, on, off);
-            row(out, "trials of a dark hall (most)", Report::trials, true, on, off);
-            row(out, "cold budget used (most)", Report::coldUse, true, on, off);
-            row(out, "nodes fallen over (most)", Report::fallen, true, on, off);
-            row(out, "unsafe jobs run twice (most)", r -> r.twice, true, on, off);
-            row(out, "no answer in time (most)", r -> r.silent, true, on, off);
-            row(out, "variation of load, 1 s (most)", r -> r.even.variationLong(), true, on, off);
-            row(out, "most load against mean, 1 s (most)", r -> r.even.mostLong(), true, on, off);
-            row(out, "free while others queue (most)", r -> r.even.idleWhileOthersQueue(), true, on, off);
-            row(out, "crowding against chance (most)", r -> r.even.crowd(), true, on, off);
-            row(out, "changes of hall states (most)", Report::moves, true, on, off);
+            printRow(out, "to a dark hall after 2 s (most)", Report::darkSendShare, true, on, off);
+            printRow(out, "trials of a dark hall (most)", Report::darkTrialShare, true, on, off);
+            printRow(out, "cold budget used (most)", Report::coldBudgetUsed, true, on, off);
+            printRow(out, "nodes fallen over (most)", Report::overloadedNodes, true, on, off);
+            printRow(out, "unsafe jobs run twice (most)", r -> r.duplicateRuns, true, on, off);
+            printRow(out, "no answer in time (most)", r -> r.missedDeadlines, true, on, off);
+            printRow(out, "variation of load, 1 s (most)", r -> r.loadBalance.longWindowVariation(), true, on, off);
+            printRow(out, "most load against mean, 1 s (most)", r -> r.loadBalance.longWindowPeak(), true, on, off);
+            printRow(out, "free while others queue (most)", r -> r.loadBalance.idleWhileOthersQueue(), true, on, off);
+            printRow(out, "crowding against chance (most)", r -> r.loadBalance.crowding(), true, on, off);
+            printRow(out, "changes of hall states (most)", Report::hallStateChangeCount, true, on, off);
         }
         if (json != null) {
             List<Object> all = new ArrayList<>();
@@ -78,34 +78,34 @@
         }
     }
 
-    private static List<Report> play(Scenario scenario, OperatorSettings operator, long seed, int seeds) {
+    private static List<Report> runSeeds(Scenario scenario, OperatorSettings operator, long seed, int seeds) {
         Report[] reports = new Report[seeds];
         LongStream.range(0, seeds)
                 .parallel()
-                .forEach(k -> reports[(int) k] = Emulator.play(scenario, operator, seed + k));
+                .forEach(k -> reports[(int) k] = Emulator.run(scenario, operator, seed + k));
         return Arrays.asList(reports);
     }
 
-    private static void row(
+    private static void printRow(
             PrintStream out,
             String name,
-            ToDoubleFunction<Report> figure,
-            boolean most,
+            ToDoubleFunction<Report> metric,
+            boolean highest,
             List<Report> on,
             List<Report> off) {
-        out.printf(Locale.ROOT, "%-34s %10.4f %10.4f", name, mean(on, figure), extreme(on, figure, most));
+        out.printf(Locale.ROOT, "%-34s %10.4f %10.4f", name, mean(on, metric), extreme(on, metric, highest));
         if (!off.isEmpty()) {
-            out.printf(Locale.ROOT, " %10.4f %10.4f", mean(off, figure), extreme(off, figure, most));
+            out.printf(Locale.ROOT, " %10.4f %10.4f", mean(off, metric), extreme(off, metric, highest));
         }
         out.println();
     }
 
-    private static double mean(List<Report> reports, ToDoubleFunction<Report> figure) {
-        return reports.stream().mapToDouble(figure).average().orElse(0);
+    private static double mean(List<Report> reports, ToDoubleFunction<Report> metric) {
+        return reports.stream().mapToDouble(metric).average().orElse(0);
     }
 
-    private static double extreme(List<Report> reports, ToDoubleFunction<Report> figure, boolean most) {
-        var values = reports.stream().mapToDouble(figure);
-        return (most ? values.max() : values.min()).orElse(0);
+    private static double extreme(List<Report> reports, ToDoubleFunction<Report> metric, boolean highest) {
+        var values = reports.stream().mapToDouble(metric);
+        return (highest ? values.max() : values.min()).orElse(0);
     }
 }
--- a/src/main/java/barrowshore/model/WorkerModel.java
+++ b/src/main/java/barrowshore/model/WorkerModel.java
@@ -6,38 +6,47 @@
 import java.util.List;
 
 /**
- * A model of one order node: cores, slots, a bounded queue served in order or by what fits, warm-up after a start,
- * falling over when too much comes while it is cold, pauses in which it takes work and answers nothing, slowness, and a
- * drain. Nothing that waits or runs is ever cancelled. It owns the jobs that it was offered, each until its one end, and
- * must never know who offered them or over what. Pure: time comes from a {@link Timeline}; not thread-safe.
+ * A model of one worker: cores, slots, a bounded queue (FIFO or with backfill), warm-up after a start, failure from
+ * overload while cold, hangs, slowdown and draining. It owns each job from its offer to its single final callback, never
+ * cancels one, and knows nothing of senders or transport. All time comes from a {@link Timeline}; not thread-safe.
  */
 public final class WorkerModel {
-    /** Chance: a cold node falls over above N + 3 sqrt(N) + 3 mean jobs in a window, N being what the limit allows. */
-    private static final double SLACK = 3;
-    /** The part of what pushed it over that must have come from senders who knew, for the rule to be broken. */
-    private static final double KNOWING = 2 / 3.0;
+    /**
+     * Allowance for random arrivals: a cold worker fails above N + 3 sqrt(N) + 3 mean jobs in a window, where N is what
+     * the overload limit allows.
+     */
+    private static final double RANDOM_ARRIVAL_ALLOWANCE = 3;
+    /** An overload violates the senders' rule if more than this share of the work came from senders told of the start. */
+    private static final double INFORMED_SHARE_OF_OVERLOAD = 2 / 3.0;
 
     /**
-     * What a node is. speed: of a core, against the standard one; queue: slots of work that may wait; coldFrom: the share
-     * of its capacity at a start; coldTime: until it is warm, microseconds.
+     * A worker's hardware. speed: of a core, relative to a standard core; queue: slots of work that may wait;
+     * startCapacity: the share of its capacity right after a start; warmUpMicros: time until it has all of it.
      */
-    public record Spec(int cores, double speed, double queue, boolean backfill, double coldFrom, long coldTime) {}
+    public record Spec(
+            int cores, double speed, double queue, boolean backfill, double startCapacity, long warmUpMicros) {}
 
-    /** What pushes a cold node over: so many times its present capacity for so long. meanJob: work of a usual job. */
-    public record OverloadLimit(double multiple, long window, double meanJob) {}
+    /**
+     * What a cold worker fails from: work arriving at this multiple of its current capacity over the window. meanJobWork:
+     * slots times work of the mean job.
+     */
+    public record OverloadLimit(double multiple, long windowMicros, double meanJobWork) {}
 
-    /** A job on a node; work in microseconds at speed 1. The calls come in order, and the last one is one of four. */
+    /**
+     * A job on a worker; its work is in microseconds at speed 1. Callbacks come in order, and the last one is done, failed,
+     * returned or lost.
+     */
     public interface Job {
         double slots();
 
         double work();
 
-        /** Memory that it needs while it runs; a node has one unit for each core. */
+        /** Memory needed while it runs; a worker has one unit per core. */
         default double memory() {
             return 0;
         }
 
-        /** Whether whoever sent it had been told that the node has just started. */
+        /** Whether the sender had been told of the worker's latest start. */
         default boolean senderKnewOfRestart() {
             return true;
         }
@@ -50,67 +59,67 @@
 
         void failed();
 
-        /** Handed back unstarted: the queue is full, or it drains. */
+        /** Handed back without being started: the queue is full, or the worker is draining. */
         void returned();
 
-        /** The process died with it. */
+        /** The worker's process died while holding it. */
         void lost();
     }
 
-    private static final class Running {
+    private static final class RunningJob {
         final Job job;
-        double left;
-        int plan;
+        double remainingWork;
+        int completionVersion;
 
-        Running(Job job) {
+        RunningJob(Job job) {
             this.job = job;
-            this.left = job.work();
+            this.remainingWork = job.work();
         }
     }
 
-    private record Arrival(long at, double size, boolean knowing) {}
+    private record Arrival(long at, double work, boolean senderKnew) {}
 
-    private final Timeline time;
+    private final Timeline timeline;
     private final Spec spec;
-    private final OverloadLimit falling;
-    private final long progressEvery;
+    private final OverloadLimit overloadLimit;
+    private final long progressIntervalMicros;
     private final Deque<Job> queue = new ArrayDeque<>();
-    private final List<Running> running = new ArrayList<>();
-    private final List<Runnable> unsaid = new ArrayList<>();
+    private final List<RunningJob> running = new ArrayList<>();
+    private final List<Runnable> heldCallbacks = new ArrayList<>();
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
-    private double arrived;
+    private double arrivedWork;
     private boolean up = true;
-    private boolean fallen, pushedOver;
+    private boolean failedFromOverload, overloadedByInformedSenders;
     private boolean draining;
     private boolean hung;
-    private double slowness = 1;
-    private long bornAt = Long.MIN_VALUE / 4;
-    private long settledAt;
+    private double slowdown = 1;
+    private long startedAt = Long.MIN_VALUE / 4;
+    private long progressUpdatedAt;
     private double waitingSlots;
-    private double coldUse;
+    private double coldBudgetUsed;
     private long served;
 
-    /** A node that has been up for long. progressEvery: microseconds between notes of progress; 0: none. */
-    public WorkerModel(Timeline time, Spec spec, OverloadLimit falling, long progressEvery) {
-        this.time = time;
+    /** Creates a warm worker. progressIntervalMicros: time between progress callbacks; 0: none. */
+    public WorkerModel(Timeline timeline, Spec spec, OverloadLimit overloadLimit, long progressIntervalMicros) {
+        this.timeline = timeline;
         this.spec = spec;
-        this.falling = falling;
-        this.progressEvery = progressEvery;
-        this.settledAt = time.now();
+        this.overloadLimit = overloadLimit;
+        this.progressIntervalMicros = progressIntervalMicros;
+        this.progressUpdatedAt = timeline.now();
     }
 
     public boolean isUp() {
         return up;
     }
 
-    /** Whether it fell over while cold. */
+    /** Whether it failed from overload while cold; it then never starts again. */
     public boolean hasFailedFromOverload() {
-        return fallen;
+        return failedFromOverload;
     }
 
-    /** Whether it fell over under what came from senders that knew of its start: two thirds of it, as the rule has it. */
+    /** Whether more than two thirds of the work that overloaded it came from senders that had been told of its start. */
     public boolean wasOverloadedByInformedSenders() {
-        return pushedOver;
+        return overloadedByInformedSenders;
     }
 
     public boolean isHung() {
@@ -125,314 +134,326 @@
         return queue.size() + running.size();
     }
 
-    /** Slots of what waits and runs. */
+    /** Slots of the jobs that wait or run. */
     public double occupiedAndWaitingSlots() {
-        return waitingSlots + used();
+        return waitingSlots + occupiedSlots();
     }
 
-    /** Slots of the work that waits. */
+    /** Slots of the waiting jobs. */
     public double waitingSlots() {
         return waitingSlots;
     }
 
-    /** What it can do now, in cores at speed 1. */
+    /** Present capacity in cores at speed 1. */
     public double capacity() {
-        return warmth(time.now()) * spec.cores() * spec.speed() / slowness;
+        return capacityShare(timeline.now()) * spec.cores() * spec.speed() / slowdown;
     }
 
-    /** How many jobs wait. */
+    /** Number of waiting jobs. */
     public int waitingJobs() {
         return queue.size();
     }
 
-    /** How fast a slot runs that is filled now. */
+    /** Speed that a slot would have if a one-slot job started in it now. */
     public double pace() {
-        return Math.min(1, warmth(time.now()) * spec.cores() / Math.max(1, Math.min(spec.cores(), used() + 1)))
+        return Math.min(
+                        1,
+                        capacityShare(timeline.now())
+                                * spec.cores()
+                                / Math.max(1, Math.min(spec.cores(), occupiedSlots() + 1)))
                 * spec.speed()
-                / slowness;
+                / slowdown;
     }
 
     public double freeSlots() {
-        return Math.max(0, spec.cores() - used());
+        return Math.max(0, spec.cores() - occupiedSlots());
     }
 
-    /** The most that came while it was cold from senders who knew of it, against what would have pushed it over. */
+    /** Highest ratio so far of work from informed senders in a window to what the cold worker fails above. */
     public double coldBudgetUsed() {
-        return coldUse;
+        return coldBudgetUsed;
     }
 
     public long served() {
         return served;
     }
 
-    private double used() {
+    private double occupiedSlots() {
         double sum = 0;
-        for (Running r : running) {
+        for (RunningJob r : running) {
             sum += r.job.slots();
         }
         return sum;
     }
 
-    /** The share of its capacity that it has at a time. */
-    private double warmth(long at) {
-        double share = (at - bornAt) / (double) spec.coldTime();
-        return share >= 1 ? 1 : spec.coldFrom() + (1 - spec.coldFrom()) * Math.max(0, share);
+    /** Share of full capacity at a time: grows linearly over the warm-up. */
+    private double capacityShare(long at) {
+        double share = (at - startedAt) / (double) spec.warmUpMicros();
+        return share >= 1 ? 1 : spec.startCapacity() + (1 - spec.startCapacity()) * Math.max(0, share);
     }
 
     /**
-     * The part of its speed that each running slot gets: while cold there are fewer cores than slots, shared evenly, so a
-     * lone job runs as fast as ever.
+     * The share of a core that each running slot gets. A cold worker has fewer cores, shared evenly, and not slower ones: a
+     * single job runs at full speed.
      */
-    private double pace(long at) {
-        return Math.min(1, warmth(at) * spec.cores() / Math.max(1, used()));
+    private double coreShare(long at) {
+        return Math.min(1, capacityShare(at) * spec.cores() / Math.max(1, occupiedSlots()));
     }
 
-    /** From when on there is a whole core for each slot that runs now. */
-    private long whole() {
-        double needed = Math.max(1, used()) / spec.cores();
-        double share = (needed - spec.coldFrom()) / Math.max(1e-9, 1 - spec.coldFrom());
-        return bornAt + (long) Math.ceil(spec.coldTime() * Math.max(0, Math.min(1, share)));
+    /** The time from which there is a whole core for each slot that runs now. */
+    private long fullSpeedTime() {
+        double needed = Math.max(1, occupiedSlots()) / spec.cores();
+        double share = (needed - spec.startCapacity()) / Math.max(1e-9, 1 - spec.startCapacity());
+        return startedAt + (long) Math.ceil(spec.warmUpMicros() * Math.max(0, Math.min(1, share)));
     }
 
-    /** Work that a slot does from one time to another, as many as now running. */
-    private double work(long from, long to) {
+    /** Work that each slot does between two times if the running slots stay as they are. */
+    private double workPerSlot(long from, long to) {
         if (hung || to <= from) {
             return 0;
         }
-        long bend = Math.max(from, Math.min(to, whole()));
-        double cold = (bend - from) * (pace(from) + pace(bend)) / 2;
-        return (cold + (to - bend)) * spec.speed() / slowness;
+        long rampEnd = Math.max(from, Math.min(to, fullSpeedTime()));
+        double rampTime = (rampEnd - from) * (coreShare(from) + coreShare(rampEnd)) / 2;
+        return (rampTime + (to - rampEnd)) * spec.speed() / slowdown;
     }
 
-    /** When a slot will have done so much from now on, as many as now running. */
-    private long finish(long from, double amount) {
-        double need = amount * slowness / spec.speed();
-        long whole = whole();
-        if (from >= whole) {
-            return from + (long) Math.ceil(need);
+    /** When a slot will have done that much work if the running slots stay as they are. */
+    private long finishTime(long from, double work) {
+        double needed = work * slowdown / spec.speed();
+        long rampEnd = fullSpeedTime();
+        if (from >= rampEnd) {
+            return from + (long) Math.ceil(needed);
         }
-        double until = (whole - from) * (pace(from) + pace(whole)) / 2;
-        if (need >= until) {
-            return whole + (long) Math.ceil(need - until);
+        double untilRampEnd = (rampEnd - from) * (coreShare(from) + coreShare(rampEnd)) / 2;
+        if (needed >= untilRampEnd) {
+            return rampEnd + (long) Math.ceil(needed - untilRampEnd);
         }
-        // the pace grows evenly: need = a t + b t^2 / 2
-        double a = pace(from), b = (pace(whole) - a) / (whole - from);
-        return from + (long) Math.ceil((Math.sqrt(a * a + 2 * b * need) - a) / b);
+        // The core share grows linearly: needed = a t + b t^2 / 2, solved for t.
+        double a = coreShare(from), b = (coreShare(rampEnd) - a) / (rampEnd - from);
+        return from + (long) Math.ceil((Math.sqrt(a * a + 2 * b * needed) - a) / b);
     }
 
-    /** A job's last byte has come. */
+    /** Takes, queues or returns a job that has arrived completely. */
     public void offer(Job job) {
         if (!up) {
             job.lost();
             return;
         }
-        weigh(job);
+        recordArrival(job);
         if (!up) {
-            job.lost(); // it was the one too many
+            job.lost(); // this job overloaded the worker
             return;
         }
         if (draining
                 || job.slots() > spec.cores()
                 || job.memory() > spec.cores()
-                || waitingSlots + job.slots() > spec.queue() && !fits(job)) {
-            say(job::returned);
+                || waitingSlots + job.slots() > spec.queue() && !canStartNow(job)) {
+            deliver(job::returned);
             return;
         }
         queue.add(job);
         waitingSlots += job.slots();
-        pump();
+        startWaitingJobs();
     }
 
-    /** Every job that comes weighs, those that are turned away too. */
-    private void weigh(Job job) {
-        long now = time.now();
-        double size = job.work() * job.slots();
-        arrivals.add(new Arrival(now, size, job.senderKnewOfRestart()));
-        arrived += size;
-        while (arrivals.peek().at() <= now - falling.window()) {
-            arrived -= arrivals.poll().size();
+    /**
+     * Counts an arriving job, even one that is then returned, towards the overload limit; crashes if a cold worker
+     * exceeds it.
+     */
+    private void recordArrival(Job job) {
+        long now = timeline.now();
+        double work = job.work() * job.slots();
+        arrivals.add(new Arrival(now, work, job.senderKnewOfRestart()));
+        arrivedWork += work;
+        while (arrivals.peek().at() <= now - overloadLimit.windowMicros()) {
+            arrivedWork -= arrivals.poll().work();
         }
-        if (warmth(now) < 1) {
-            double jobs = falling.multiple()
+        if (capacityShare(now) < 1) {
+            double allowedJobs = overloadLimit.multiple()
                     * spec.cores()
                     * spec.speed()
-                    * warmth(now)
-                    * falling.window()
-                    / falling.meanJob();
-            double limit = (jobs + SLACK * Math.sqrt(jobs) + SLACK) * falling.meanJob();
-            double since = 0, knowing = 0;
-            for (Arrival a : arrivals) {
-                since += a.at() >= bornAt ? a.size() : 0;
-                knowing += a.at() >= bornAt && a.knowing() ? a.size() : 0;
+                    * capacityShare(now)
+                    * overloadLimit.windowMicros()
+                    / overloadLimit.meanJobWork();
+            double workLimit =
+                    (allowedJobs + RANDOM_ARRIVAL_ALLOWANCE * Math.sqrt(allowedJobs) + RANDOM_ARRIVAL_ALLOWANCE)
+                            * overloadLimit.meanJobWork();
+            double workSinceStart = 0, informedWork = 0;
+            for (Arrival arrival : arrivals) {
+                workSinceStart += arrival.at() >= startedAt ? arrival.work() : 0;
+                informedWork += arrival.at() >= startedAt && arrival.senderKnew() ? arrival.work() : 0;
             }
-            coldUse = Math.max(coldUse, knowing / limit);
-            if (since > limit) {
-                fallen = true;
-                pushedOver = knowing > KNOWING * since;
+            coldBudgetUsed = Math.max(coldBudgetUsed, informedWork / workLimit);
+            if (workSinceStart > workLimit) {
+                failedFromOverload = true;
+                overloadedByInformedSenders = informedWork > INFORMED_SHARE_OF_OVERLOAD * workSinceStart;
                 crash();
             }
         }
     }
 
-    private boolean fits(Job job) {
-        return queue.isEmpty() && room(job);
+    private boolean canStartNow(Job job) {
+        return queue.isEmpty() && hasRoom(job);
     }
 
-    private boolean room(Job job) {
+    private boolean hasRoom(Job job) {
         double memory = 0;
-        for (Running r : running) {
+        for (RunningJob r : running) {
             memory += r.job.memory();
         }
-        return used() + job.slots() <= spec.cores() && memory + job.memory() <= spec.cores();
+        return occupiedSlots() + job.slots() <= spec.cores() && memory + job.memory() <= spec.cores();
     }
 
-    /** Starts what can start. */
-    private void pump() {
+    /** Starts waiting jobs that fit: from the head of the queue only, or any of them with backfill. */
+    private void startWaitingJobs() {
         if (!up || hung) {
             return;
         }
-        boolean more = true;
-        while (more) {
-            more = false;
+        boolean startedOne = true;
+        while (startedOne) {
+            startedOne = false;
             for (Job job : queue) {
-                if (room(job)) {
+                if (hasRoom(job)) {
                     queue.remove(job);
                     waitingSlots = queue.isEmpty() ? 0 : waitingSlots - job.slots();
-                    settle();
-                    Running r = new Running(job);
+                    updateProgress();
+                    RunningJob r = new RunningJob(job);
                     running.add(r);
-                    say(job::started);
-                    planBeside(r);
-                    note(r);
-                    more = true;
+                    deliver(job::started);
+                    rescheduleAfterChange(r);
+                    scheduleProgress(r);
+                    startedOne = true;
                     break;
                 }
                 if (!spec.backfill()) {
-                    break; // the first one waits until it fits
+                    break; // FIFO: nothing passes the first job
                 }
             }
         }
     }
 
-    /** Books what has been done since the last time. */
-    private void settle() {
-        long now = time.now();
-        double done = work(settledAt, now);
-        for (Running r : running) {
-            r.left -= done;
+    /** Subtracts the work done since the last call from each running job. */
+    private void updateProgress() {
+        long now = timeline.now();
+        double done = workPerSlot(progressUpdatedAt, now);
+        for (RunningJob r : running) {
+            r.remainingWork -= done;
         }
-        settledAt = now;
+        progressUpdatedAt = now;
     }
 
-    /** One more runs, or one less: while it is cold, that changes the pace of all. */
-    private void planBeside(Running fresh) {
-        if (time.now() < bornAt + spec.coldTime()) {
-            replan();
-        } else if (fresh != null) {
-            plan(fresh);
+    /** Plans completions after a job started (null: one ended): while cold, the number of jobs changes the speed of all. */
+    private void rescheduleAfterChange(RunningJob started) {
+        if (timeline.now() < startedAt + spec.warmUpMicros()) {
+            rescheduleAll();
+        } else if (started != null) {
+            scheduleCompletion(started);
         }
     }
 
-    private void plan(Running r) {
-        int plan = ++r.plan;
+    private void scheduleCompletion(RunningJob r) {
+        int version = ++r.completionVersion;
         if (!hung) {
-            time.runAt(finish(time.now(), Math.max(0, r.left)), () -> {
-                if (plan == r.plan && up && running.contains(r)) {
-                    settle();
+            timeline.runAt(finishTime(timeline.now(), Math.max(0, r.remainingWork)), () -> {
+                if (version == r.completionVersion && up && running.contains(r)) {
+                    updateProgress();
                     running.remove(r);
-                    planBeside(null);
+                    rescheduleAfterChange(null);
                     served++;
-                    say(r.job::done);
-                    pump();
+                    deliver(r.job::done);
+                    startWaitingJobs();
                 }
             });
         }
     }
 
-    private void note(Running r) {
-        if (progressEvery > 0) {
-            time.runAt(time.now() + progressEvery, () -> {
+    private void scheduleProgress(RunningJob r) {
+        if (progressIntervalMicros > 0) {
+            timeline.runAt(timeline.now() + progressIntervalMicros, () -> {
                 if (up && running.contains(r)) {
                     if (!hung) {
-                        settle();
-                        double share = Math.min(1, Math.max(0, 1 - r.left / r.job.work()));
-                        say(() -> r.job.progress(share));
+                        updateProgress();
+                        double share = Math.min(1, Math.max(0, 1 - r.remainingWork / r.job.work()));
+                        deliver(() -> r.job.progress(share));
                     }
-                    note(r);
+                    scheduleProgress(r);
                 }
             });
         }
     }
 
-    private void say(Runnable word) {
+    private void deliver(Runnable callback) {
         if (hung) {
-            unsaid.add(word);
+            heldCallbacks.add(callback);
         } else {
-            word.run();
+            callback.run();
         }
     }
 
-    private void replan() {
-        running.forEach(this::plan);
+    private void rescheduleAll() {
+        running.forEach(this::scheduleCompletion);
     }
 
-    /** From now on everything takes so many times as long. */
+    /** From now on all work takes this many times as long. */
     public void setSlowdown(double factor) {
-        settle();
-        slowness = factor;
-        replan();
-    }
-
-    /** It takes work and answers nothing, or goes on with what it has. */
-    public void setHung(boolean on) {
-        settle();
-        hung = on;
-        replan();
-        if (!on) {
-            List<Runnable> words = List.copyOf(unsaid);
-            unsaid.clear();
-            words.forEach(Runnable::run);
-            pump();
+        updateProgress();
+        slowdown = factor;
+        rescheduleAll();
+    }
+
+    /**
+     * While hung it accepts jobs, does no work and delivers no callback; afterwards it continues and delivers those
+     * held.
+     */
+    public void setHung(boolean hang) {
+        updateProgress();
+        hung = hang;
+        rescheduleAll();
+        if (!hang) {
+            List<Runnable> callbacks = List.copyOf(heldCallbacks);
+            heldCallbacks.clear();
+            callbacks.forEach(Runnable::run);
+            startWaitingJobs();
         }
     }
 
-    /** It finishes what it runs, hands back what waits and takes nothing new; or takes work again. */
-    public void setDraining(boolean on) {
-        draining = on;
-        if (on) {
+    /** While draining it finishes running jobs; waiting and new jobs are returned. */
+    public void setDraining(boolean drain) {
+        draining = drain;
+        if (drain) {
             List<Job> waiting = List.copyOf(queue);
             queue.clear();
             waitingSlots = 0;
-            waiting.forEach(job -> say(job::returned));
+            waiting.forEach(job -> deliver(job::returned));
         }
     }
 
-    /** The process dies with all that it holds. */
+    /** The process dies: all its jobs are lost. */
     public void crash() {
         if (!up) {
             return;
         }
-        settle();
+        updateProgress();
         up = false;
         List<Job> lost = new ArrayList<>(queue);
         running.forEach(r -> lost.add(r.job));
         queue.clear();
         running.clear();
-        unsaid.clear();
+        heldCallbacks.clear();
         waitingSlots = 0;
         lost.forEach(Job::lost);
     }
 
-    /** The process starts again, cold. */
+    /** Starts the process again, cold. */
     public void restart() {
-        if (fallen) {
-            return; // what was pushed over stays down
+        if (failedFromOverload) {
+            return; // a worker that failed from overload stays down
         }
         up = true;
         hung = false;
         draining = false;
-        slowness = 1;
-        bornAt = time.now();
-        settledAt = bornAt;
+        slowdown = 1;
+        startedAt = timeline.now();
+        progressUpdatedAt = startedAt;
     }
 }
