--- a/src/main/java/barrowshore/capacity/simulated/SimulatedFleetPlan.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedFleetPlan.java
@@ -9,33 +9,33 @@
 import java.util.regex.Pattern;
 
 /**
- * The size of a hollow fleet: how many workers, schedulers, real ones among these and task starts a second, and for how
- * many seconds it is measured. It owns the check of these figures against sense and against the machine, before anything
- * is started.
+ * Size of a simulated fleet and length of its measurement: workers, all schedulers, the real ones among them, task
+ * starts per second, and seconds. It checks these against fixed ranges and the machine's limits before anything is
+ * started.
  */
 public record SimulatedFleetPlan(int workers, int schedulers, int real, int starts, int seconds) {
-    /** Twice the target, and what one command may start. */
-    private static final int MOST_WORKERS = 1_540, MOST_SCHEDULERS = 40, MOST_REAL = 20, MOST_STARTS = 520;
+    /** Upper bounds: twice the target size, and what one command may start. */
+    private static final int MAX_WORKERS = 1_540, MAX_SCHEDULERS = 40, MAX_REAL = 20, MAX_STARTS_PER_SECOND = 520;
 
-    private static final int LEAST_SECONDS = 2, MOST_SECONDS = 300;
-    /** Memory in MiB: of this process at least, of a real scheduler, of a hollow one with what it knows of the fleet. */
-    private static final int MIB_BASE = 400, MIB_REAL = 100, MIB_HOLLOW = 40;
-    /** Workers whose sockets and models fit into a MiB. */
+    private static final int MIN_SECONDS = 2, MAX_SECONDS = 300;
+    /** Memory in MiB: minimum for this process, per real scheduler, and per simulated one with its view of the fleet. */
+    private static final int BASE_MIB = 400, MIB_PER_REAL_SCHEDULER = 100, MIB_PER_SIMULATED_SCHEDULER = 40;
+    /** Workers whose sockets and models fit into one MiB. */
     private static final int WORKERS_PER_MIB = 10;
-    /** Descriptors: of this process at least, for each scheduler, for each request that is under way at a real one. */
-    private static final int FILES_BASE = 500, FILES_EACH = 20, FILES_REQUEST = 2;
+    /** File descriptors: of this process as a minimum, per scheduler, and per request in flight at a real scheduler. */
+    private static final int BASE_FILES = 500, FILES_PER_SCHEDULER = 20, FILES_PER_REQUEST = 2;
 
-    /** What the machine has: memory in MiB in all and free now, and files that a process may open. */
-    record Machine(long memory, long available, long files) {
-        /** This one; where the system does not tell, there is no bound. */
-        static Machine here() {
-            return new Machine(
-                    figure("/proc/meminfo", "MemTotal:\\s+(\\d+) kB", 1024),
-                    figure("/proc/meminfo", "MemAvailable:\\s+(\\d+) kB", 1024),
-                    figure("/proc/self/limits", "Max open files\\s+(\\d+)", 1));
+    /** Limits of the machine: total and available memory in MiB, and files that a process may open. */
+    record MachineLimits(long memoryMib, long availableMib, long maxOpenFiles) {
+        /** Reads the limits of this machine; a limit that cannot be read is unbounded. */
+        static MachineLimits ofThisMachine() {
+            return new MachineLimits(
+                    readLimit("/proc/meminfo", "MemTotal:\\s+(\\d+) kB", 1024),
+                    readLimit("/proc/meminfo", "MemAvailable:\\s+(\\d+) kB", 1024),
+                    readLimit("/proc/self/limits", "Max open files\\s+(\\d+)", 1));
         }
 
-        private static long figure(String file, String pattern, long unit) {
+        private static long readLimit(String file, String pattern, long unit) {
             try {
                 Matcher found = Pattern.compile(pattern).matcher(Files.readString(Path.of(file)));
                 return found.find() ? Long.parseLong(found.group(1)) / unit : Long.MAX_VALUE;
@@ -45,44 +45,50 @@
         }
     }
 
-    int hollow() {
+    int simulated() {
         return schedulers - real;
     }
 
-    /** Throws a {@link ConfigException} of one line that names the first figure that cannot be played. */
-    void check(Machine machine) {
-        within("--workers", workers, 1, MOST_WORKERS);
-        within("--schedulers", schedulers, 1, MOST_SCHEDULERS);
-        within("--real", real, 0, Math.min(schedulers, MOST_REAL));
-        within("--starts", starts, 0, MOST_STARTS);
-        within("--seconds", seconds, LEAST_SECONDS, MOST_SECONDS);
-        long memory = MIB_BASE + (long) real * MIB_REAL + (long) hollow() * MIB_HOLLOW + workers / WORKERS_PER_MIB;
-        enough("MiB of memory", memory, Math.min(machine.memory() / 2, machine.available()));
-        double underWay = starts * TargetSite.TASK_SECONDS * real / schedulers;
-        long files = FILES_BASE + workers + (long) schedulers * FILES_EACH + (long) Math.ceil(underWay * FILES_REQUEST);
-        enough("open files", files, machine.files());
+    /** Throws a one-line {@link ConfigException} that names the first option or resource that is out of bounds. */
+    void check(MachineLimits machine) {
+        checkRange("--workers", workers, 1, MAX_WORKERS);
+        checkRange("--schedulers", schedulers, 1, MAX_SCHEDULERS);
+        checkRange("--real", real, 0, Math.min(schedulers, MAX_REAL));
+        checkRange("--starts", starts, 0, MAX_STARTS_PER_SECOND);
+        checkRange("--seconds", seconds, MIN_SECONDS, MAX_SECONDS);
+        long memory = BASE_MIB
+                + (long) real * MIB_PER_REAL_SCHEDULER
+                + (long) simulated() * MIB_PER_SIMULATED_SCHEDULER
+                + workers / WORKERS_PER_MIB;
+        checkResource("MiB of memory", memory, Math.min(machine.memoryMib() / 2, machine.availableMib()));
+        double inFlight = starts * TargetSite.TASK_SECONDS * real / schedulers;
+        long files = BASE_FILES
+                + workers
+                + (long) schedulers * FILES_PER_SCHEDULER
+                + (long) Math.ceil(inFlight * FILES_PER_REQUEST);
+        checkResource("open files", files, machine.maxOpenFiles());
     }
 
-    private static void within(String option, int value, int least, int most) {
-        if (value < least || value > most) {
+    private static void checkRange(String option, int value, int min, int max) {
+        if (value < min || value > max) {
             throw new ConfigException(String.format(
                     Locale.ROOT,
                     "hollow: %s must be from %d to %d, not %d: nothing was started",
                     option,
-                    least,
-                    most,
+                    min,
+                    max,
                     value));
         }
     }
 
-    private static void enough(String what, long needed, long there) {
-        if (needed > there) {
+    private static void checkResource(String what, long needed, long available) {
+        if (needed > available) {
             throw new ConfigException(String.format(
                     Locale.ROOT,
                     "hollow: this size needs %d %s and may take %d: nothing was started",
                     needed,
                     what,
-                    there));
+                    available));
         }
     }
 }
--- a/src/main/java/barrowshore/capacity/simulated/SimulatedScheduler.java
+++ b/src/main/java/barrowshore/capacity/simulated/SimulatedScheduler.java
@@ -1,6 +1,6 @@
 package barrowshore.capacity.simulated;
 
-import barrowshore.capacity.simulated.ProcessorMeter.Part;
+import barrowshore.capacity.simulated.CpuMeter.Category;
 import barrowshore.config.Config;
 import barrowshore.list.ServerList.Update;
 import barrowshore.model.WorkerModel;
@@ -34,31 +34,32 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A scheduler that is real in its control side and hollow in its work: the decision module, the datagrams of its peers on
- * a UDP socket, the watch of discovery over TCP and the reload of its configuration are those of a real process, while
- * a request is a call and an attempt is handed to the worker's model without a connection. An actor; it owns its sockets
- * and threads, which are all in one thread group, so that their processor time can be told from the other schedulers'. It
- * must never share what it has learned with another one.
+ * Scheduler with a real control side and simulated requests: the decision module, the peer datagrams over UDP, the
+ * service discovery watch over TCP and the configuration reload are those of a real process, while a request is a method
+ * call and an attempt goes to the worker's model without a connection.
+ *
+ * It is an actor. It owns its sockets and threads; the threads share one thread group, so that their CPU time can be
+ * told from that of the other schedulers. It shares no learned state with other schedulers.
  */
 final class SimulatedScheduler implements DispatchApi.Actions, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("barrowshore.capacity.hollow.HollowScheduler");
-    /** Threads and outgoing connections: as a scheduler on one core has, and the watch's alone. */
-    private static final int THREADS = 4, CONNECTIONS = 4;
+    /** Threads as in a scheduler on one core; the only outgoing connections are the service discovery watch's. */
+    private static final int THREAD_COUNT = 4, MAX_CONNECTIONS = 4;
 
-    private static final int LAST_MESSAGE_SECONDS = 2;
+    private static final int SHUTDOWN_TIMEOUT_SECONDS = 2;
 
     /**
-     * What it has counted so far. fresh: listed workers of whom a start is told; wholeLists, listChanges: lists by how they
-     * came; heard: datagrams by their sender; entered: those that the module took.
+     * Counters since the scheduler's start. restarted: listed workers with a known start time; fullLists, incrementalLists:
+     * list updates by kind; datagramsReceived, datagramsAccepted: peer datagrams by sender, accepted by the decision module.
      */
-    record Count(
+    record Counters(
             int listed,
-            int fresh,
-            long wholeLists,
-            long listChanges,
+            int restarted,
+            long fullLists,
+            long incrementalLists,
             long reloads,
-            List<Long> heard,
-            List<Long> entered,
+            List<Long> datagramsReceived,
+            List<Long> datagramsAccepted,
             long requests,
             long served,
             long refused,
@@ -67,42 +68,44 @@
     private final Clock clock = Clock.system();
     private final Map<String, StandInWorker> workers;
     private final ThreadGroup group;
-    private final ProcessorMeter meter;
+    private final CpuMeter meter;
     private final ExecutorService pool;
     private final Scheduler timers;
-    private final ConnectionManager dialer;
+    private final ConnectionManager connectionManager;
     private final Mailbox mailbox;
-    private final Dispatcher module;
+    private final Dispatcher dispatcher;
     private final PeerMessenger peers;
     private final ServiceDiscovery discovery;
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
     private final Map<String, OpenRequest> requests = new HashMap<>();
-    private final AtomicLongArray heard, entered;
-    private final AtomicLong wholeLists = new AtomicLong(), listChanges = new AtomicLong(), reloads = new AtomicLong();
-    private final AtomicLong opened = new AtomicLong(), served = new AtomicLong();
+    private final AtomicLongArray datagramsReceived, datagramsAccepted;
+    private final AtomicLong fullLists = new AtomicLong(),
+            incrementalLists = new AtomicLong(),
+            reloads = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong(), served = new AtomicLong();
     private final AtomicLong refused = new AtomicLong(), failed = new AtomicLong();
     private final Map<String, DispatchApi.Member> listed = new HashMap<>();
-    private volatile int listedNow, freshNow;
+    private volatile int listedCount, restartedCount;
     private volatile boolean closed;
     private Config config;
-    private long lastNow;
+    private long lastNowMicros;
 
-    /** A request and when its attempts were sent; kept until it is answered and no attempt is out. */
+    /** An open request and its attempts; kept until it is answered and no attempt is pending. */
     private static final class OpenRequest {
         final String id;
-        final double work;
+        final double workMicros;
         final List<Attempt> attempts = new ArrayList<>(1);
         Scheduler.Task deadline;
-        int out;
+        int pendingAttempts;
         boolean answered;
 
         OpenRequest(String id, double work) {
             this.id = id;
-            this.work = work;
+            this.workMicros = work;
         }
     }
 
-    /** Starts one in a thread group of its own. workers: the models behind the list's names. */
+    /** Starts a scheduler in its own thread group. workers: the worker models by the names in the list. */
     static SimulatedScheduler start(Config config, Map<String, StandInWorker> workers) throws Exception {
         ThreadGroup group = new ThreadGroup("hollow " + config.name());
         FutureTask<SimulatedScheduler> made = new FutureTask<>(() -> new SimulatedScheduler(config, workers, group));
@@ -114,8 +117,8 @@
         this.config = config;
         this.workers = workers;
         this.group = group;
-        meter = new ProcessorMeter(group);
-        pool = Executors.newFixedThreadPool(THREADS, run -> {
+        meter = new CpuMeter(group);
+        pool = Executors.newFixedThreadPool(THREAD_COUNT, run -> {
             Thread thread = new Thread(group, run, config.name());
             thread.setDaemon(true);
             return thread;
@@ -124,47 +127,51 @@
         timers.start();
         mailbox = new Mailbox(config.name(), pool);
         int schedulers = config.peers().peers().size();
-        heard = new AtomicLongArray(schedulers);
-        entered = new AtomicLongArray(schedulers);
-        dialer = new ConnectionManager(
-                pool, timers, CONNECTIONS, 0, config.settings().connectTimeoutMicros / 1000, endPoint -> null);
-        module = new Dispatcher(config.settings(), this);
+        datagramsReceived = new AtomicLongArray(schedulers);
+        datagramsAccepted = new AtomicLongArray(schedulers);
+        connectionManager = new ConnectionManager(
+                pool, timers, MAX_CONNECTIONS, 0, config.settings().connectTimeoutMicros / 1000, endPoint -> null);
+        dispatcher = new Dispatcher(config.settings(), this);
         discovery = new ServiceDiscovery(
                 config.discovery(),
                 config.names(),
                 pool,
-                dialer,
+                connectionManager,
                 timers,
-                update -> mailbox.post(() -> list(update)),
+                update -> mailbox.post(() -> receiveList(update)),
                 () -> {},
                 config.knownServers(),
                 config.grace());
         peers = new PeerMessenger(
-                config.peers(), false, pool, clock, (from, message) -> mailbox.post(() -> peer(from, message)));
-        dialer.start();
-        call(Part.REFRESH, () -> module.start(now()));
+                config.peers(),
+                false,
+                pool,
+                clock,
+                (from, message) -> mailbox.post(() -> receivePeerMessage(from, message)));
+        connectionManager.start();
+        post(Category.REFRESH, () -> dispatcher.start(now()));
         discovery.open();
     }
 
-    ProcessorMeter meter() {
+    CpuMeter meter() {
         return meter;
     }
 
-    /** Done once it has a list. */
+    /** Completes when the first list has been received. */
     CompletableFuture<Void> ready() {
         return ready;
     }
 
-    Count count() {
-        return new Count(
-                listedNow,
-                freshNow,
-                wholeLists.get(),
-                listChanges.get(),
+    Counters counters() {
+        return new Counters(
+                listedCount,
+                restartedCount,
+                fullLists.get(),
+                incrementalLists.get(),
                 reloads.get(),
-                values(heard),
-                values(entered),
-                opened.get(),
+                values(datagramsReceived),
+                values(datagramsAccepted),
+                requestCount.get(),
                 served.get(),
                 refused.get(),
                 failed.get());
@@ -178,22 +185,22 @@
         return values;
     }
 
-    // What it is told.
+    // Inputs.
 
-    private void call(Part part, Runnable run) {
+    private void post(Category category, Runnable run) {
         mailbox.post(() -> {
             if (!closed) {
-                meter.run(part, run);
+                meter.run(category, run);
             }
         });
     }
 
     private long now() {
-        lastNow = Math.max(lastNow, clock.micros());
-        return lastNow;
+        lastNowMicros = Math.max(lastNowMicros, clock.micros());
+        return lastNowMicros;
     }
 
-    private void list(Update update) {
+    private void receiveList(Update update) {
         List<DispatchApi.Member> members = new ArrayList<>();
         update.entries().forEach(entry -> members.add(entry.toMember()));
         if (update.full()) {
@@ -206,53 +213,58 @@
                 listed.put(member.worker(), member);
             }
         }
-        listedNow = listed.size();
-        freshNow = (int) listed.values().stream().filter(m -> m.startedAt() > 0).count();
-        (update.full() ? wholeLists : listChanges).incrementAndGet();
-        meter.run(Part.LIST, () -> module.list(now(), update.full() ? ListKind.WHOLE : ListKind.CHANGES, members));
+        listedCount = listed.size();
+        restartedCount =
+                (int) listed.values().stream().filter(m -> m.startedAt() > 0).count();
+        (update.full() ? fullLists : incrementalLists).incrementAndGet();
+        meter.run(
+                Category.LIST,
+                () -> dispatcher.list(now(), update.full() ? ListKind.WHOLE : ListKind.CHANGES, members));
         ready.complete(null);
     }
 
-    private void peer(int from, byte[] message) {
-        heard.incrementAndGet(from);
-        long before = module.workCounters().datagrams();
-        meter.run(Part.PEERS, () -> module.peerMessage(now(), from, message));
-        entered.addAndGet(from, module.workCounters().datagrams() - before);
+    private void receivePeerMessage(int from, byte[] message) {
+        datagramsReceived.incrementAndGet(from);
+        long before = dispatcher.workCounters().datagrams();
+        meter.run(Category.PEERS, () -> dispatcher.peerMessage(now(), from, message));
+        datagramsAccepted.addAndGet(from, dispatcher.workCounters().datagrams() - before);
     }
 
-    /** Takes over what a changed configuration may change in a running scheduler. */
+    /** Applies the settings that can change in a running scheduler. */
     void reload(Config read) {
         mailbox.post(() -> {
             config = read.asReloadOf(config);
-            meter.run(Part.CONFIGURATION, () -> module.changeSettings(now(), config.settings()));
+            meter.run(Category.CONFIGURATION, () -> dispatcher.changeSettings(now(), config.settings()));
             discovery.setGrace(config.grace());
             discovery.setAddress(config.discovery());
             reloads.incrementAndGet();
         });
     }
 
-    /** A client's request; work: microseconds that it takes on a free slot. */
-    void request(String id, int jobClass, int tenant, double work) {
-        call(Part.REQUESTS, () -> {
-            OpenRequest open = new OpenRequest(id, work);
+    /** Submits a client's request. workMicros: time that it takes on a free slot. */
+    void request(String id, int jobClass, int tenant, double workMicros) {
+        post(Category.REQUESTS, () -> {
+            OpenRequest open = new OpenRequest(id, workMicros);
             requests.put(id, open);
-            opened.incrementAndGet();
+            requestCount.incrementAndGet();
             open.deadline = timers.schedule(
-                    () -> call(Part.REQUESTS, () -> expire(open)), TargetSite.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            module.request(now(), new Request(id, jobClass, tenant, 1, 0, TargetSite.TIMEOUT_MILLIS * 1000L));
+                    () -> post(Category.REQUESTS, () -> expire(open)),
+                    TargetSite.TIMEOUT_MILLIS,
+                    TimeUnit.MILLISECONDS);
+            dispatcher.request(now(), new Request(id, jobClass, tenant, 1, 0, TargetSite.TIMEOUT_MILLIS * 1000L));
         });
     }
 
     private void expire(OpenRequest open) {
-        List.copyOf(open.attempts).forEach(attempt -> conclude(attempt, Status.TIMEOUT));
+        List.copyOf(open.attempts).forEach(attempt -> endAttempt(attempt, Status.TIMEOUT));
         if (!open.answered) {
             answer(open, failed);
-            module.clientGone(now(), open.id);
-            forget(open);
+            dispatcher.clientGone(now(), open.id);
+            removeIfDone(open);
         }
     }
 
-    /** One attempt, as a job on the model of a worker: what becomes of it comes back through the mailbox. */
+    /** One attempt as a job on a worker's model; its events come back through the mailbox. */
     private final class Attempt implements WorkerModel.Job {
         final OpenRequest open;
         final int number;
@@ -272,115 +284,115 @@
 
         @Override
         public double work() {
-            return open.work;
+            return open.workMicros;
         }
 
         @Override
         public void started() {
-            noted(Note.STARTED, 0);
+            postNote(Note.STARTED, 0);
         }
 
         @Override
         public void progress(double share) {
-            noted(Note.PROGRESS, share);
+            postNote(Note.PROGRESS, share);
         }
 
-        private void noted(Note note, double share) {
-            call(Part.REQUESTS, () -> {
+        private void postNote(Note note, double share) {
+            post(Category.REQUESTS, () -> {
                 if (!ended) {
-                    module.note(now(), open.id, number, note, share);
+                    dispatcher.note(now(), open.id, number, note, share);
                 }
             });
         }
 
         @Override
         public void done() {
-            ends(Status.OK);
+            postOutcome(Status.OK);
         }
 
         @Override
         public void failed() {
-            ends(Status.ERROR);
+            postOutcome(Status.ERROR);
         }
 
         @Override
         public void returned() {
-            ends(Status.FULL);
+            postOutcome(Status.FULL);
         }
 
         @Override
         public void lost() {
-            ends(Status.RESET);
+            postOutcome(Status.RESET);
         }
 
-        void ends(Status status) {
-            call(Part.REQUESTS, () -> conclude(this, status));
+        void postOutcome(Status status) {
+            post(Category.REQUESTS, () -> endAttempt(this, status));
         }
     }
 
-    private void conclude(Attempt attempt, Status status) {
+    private void endAttempt(Attempt attempt, Status status) {
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
         OpenRequest open = attempt.open;
-        open.out--;
+        open.pendingAttempts--;
         if (status == Status.OK) {
             answer(open, served);
         }
         long now = now();
-        module.outcome(now, open.id, attempt.number, open.answered, status, now - attempt.sentAt, null);
-        forget(open);
+        dispatcher.outcome(now, open.id, attempt.number, open.answered, status, now - attempt.sentAt, null);
+        removeIfDone(open);
     }
 
-    private void answer(OpenRequest open, AtomicLong counted) {
+    private void answer(OpenRequest open, AtomicLong counter) {
         if (!open.answered) {
             open.answered = true;
             open.deadline.cancel();
-            counted.incrementAndGet();
+            counter.incrementAndGet();
         }
     }
 
-    private void forget(OpenRequest open) {
-        if (open.answered && open.out == 0) {
+    private void removeIfDone(OpenRequest open) {
+        if (open.answered && open.pendingAttempts == 0) {
             requests.remove(open.id, open);
         }
     }
 
-    // What the module orders.
+    // Actions of the decision module.
 
     @Override
     public void send(String id, String worker, long timeout) {
         OpenRequest open = requests.get(id);
         Attempt attempt = new Attempt(open, open.attempts.size(), now());
         open.attempts.add(attempt);
-        open.out++;
+        open.pendingAttempts++;
         StandInWorker node = workers.get(worker);
         if (node == null) {
-            attempt.ends(Status.NOT_SENT);
+            attempt.postOutcome(Status.NOT_SENT);
         } else {
             node.offer(attempt);
         }
         if (timeout > 0) {
-            timers.schedule(() -> attempt.ends(Status.TIMEOUT), timeout, TimeUnit.MICROSECONDS);
+            timers.schedule(() -> attempt.postOutcome(Status.TIMEOUT), timeout, TimeUnit.MICROSECONDS);
         }
     }
 
     @Override
     public void refuse(String id, long retryAfter) {
-        decided(id, refused);
+        answerWithoutResult(id, refused);
     }
 
     @Override
     public void fail(String id) {
-        decided(id, failed);
+        answerWithoutResult(id, failed);
     }
 
-    private void decided(String id, AtomicLong counted) {
+    private void answerWithoutResult(String id, AtomicLong counter) {
         OpenRequest open = requests.get(id);
         if (open != null) {
-            answer(open, counted);
-            forget(open);
+            answer(open, counter);
+            removeIfDone(open);
         }
     }
 
@@ -388,7 +400,7 @@
     public void cancel(String id, int attempt) {
         OpenRequest open = requests.get(id);
         if (open != null) {
-            open.attempts.get(attempt).ends(Status.CANCELLED);
+            open.attempts.get(attempt).postOutcome(Status.CANCELLED);
         }
     }
 
@@ -398,9 +410,9 @@
         if (node != null) {
             long sentAt = clock.micros();
             node.load()
-                    .thenAccept(load -> call(Part.PROBES, () -> {
+                    .thenAccept(load -> post(Category.PROBES, () -> {
                         long now = now();
-                        module.probed(now, worker, Status.OK, now - sentAt, load);
+                        dispatcher.probed(now, worker, Status.OK, now - sentAt, load);
                     }));
         }
     }
@@ -413,14 +425,14 @@
     @Override
     public void setTimer(long delay, String token) {
         timers.schedule(
-                () -> call(Part.REFRESH, () -> module.timerFired(now(), token)),
+                () -> post(Category.REFRESH, () -> dispatcher.timerFired(now(), token)),
                 Math.max(1, delay),
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void watchList() {
-        // The service discovery's watch is open from the start and stays so.
+        // The service discovery watch is open from the start until the scheduler is closed.
     }
 
     @Override
@@ -428,16 +440,16 @@
         LOG.log(Level.DEBUG, line);
     }
 
-    /** Stops at once; its threads end, and its port is free for one under the same name. */
+    /** Stops without a drain and ends all threads. Afterwards the port is free for a scheduler of the same name. */
     @Override
     public void close() throws IOException {
         closed = true;
         peers.stop();
-        LifeCycle.stop(dialer);
+        LifeCycle.stop(connectionManager);
         pool.shutdownNow();
         try {
-            // A message that is still under way may want a timer.
-            pool.awaitTermination(LAST_MESSAGE_SECONDS, TimeUnit.SECONDS);
+            // A message still being processed may set a timer, so the timers stop after the pool.
+            pool.awaitTermination(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/barrowshore/capacity/simulated/TaskClients.java
+++ b/src/main/java/barrowshore/capacity/simulated/TaskClients.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * The clients of the real schedulers: each task over a connection of its own, thousands at once on one selector and one
- * thread. It owns these connections and counts by answer. It must never send a task twice.
+ * Clients of the real schedulers: each task has its own connection, and thousands of them share one selector and one
+ * thread. It counts the answers by kind and never sends a task twice.
  */
 final class TaskClients implements AutoCloseable {
-    /** What a client got: a result, a refusal to come back later, a failure, or no answer at all. */
+    /** Outcome for a client: a result, a refusal (429 or 503), any other status, or no answer. */
     enum Answer {
         SERVED,
         TURNED_DOWN,
@@ -26,45 +26,45 @@
         NONE
     }
 
-    /** Where the three digits of the status stand in an answer's first line. */
-    private static final int STATUS_FROM = 9, STATUS_TO = 12;
+    /** Position of the status code in the first line of a response. */
+    private static final int STATUS_START = 9, STATUS_END = 12;
 
-    private static final int READ_BUFFER = 4096;
+    private static final int READ_BUFFER_BYTES = 4096;
 
     private final Selector selector = Selector.open();
-    private final Queue<Call> fresh = new ConcurrentLinkedQueue<>();
+    private final Queue<TaskRequest> newTasks = new ConcurrentLinkedQueue<>();
     private final AtomicLongArray answers;
-    private final ByteBuffer in = ByteBuffer.allocate(READ_BUFFER);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
-    /** One task's connection. */
-    private static final class Call {
+    /** State of the connection of one task. */
+    private static final class TaskRequest {
         final int scheduler;
-        final InetSocketAddress to;
+        final InetSocketAddress address;
         final ByteBuffer unsent;
-        final StringBuilder start = new StringBuilder();
+        final StringBuilder responseStart = new StringBuilder();
 
-        Call(int scheduler, InetSocketAddress to, ByteBuffer unsent) {
+        TaskRequest(int scheduler, InetSocketAddress to, ByteBuffer unsent) {
             this.scheduler = scheduler;
-            this.to = to;
+            this.address = to;
             this.unsent = unsent;
         }
     }
 
     TaskClients(int schedulers) throws IOException {
         answers = new AtomicLongArray(schedulers * Answer.values().length);
-        Thread thread = new Thread(this::carry, "task clients");
+        Thread thread = new Thread(this::runSelector, "task clients");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Sends a task to a scheduler, by its number and address. work: milliseconds that it takes on a free slot. */
-    void send(int scheduler, InetSocketAddress to, String id, int jobClass, int tenant, long work) {
+    /** Sends a task to the scheduler with this number and address. workMillis: time that it takes on a free slot. */
+    void send(int scheduler, InetSocketAddress to, String id, int jobClass, int tenant, long workMillis) {
         String name = TargetSite.CLASSES.get(jobClass);
-        String request = "POST /" + name + "?work=" + work + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id
-                + "\r\nX-Priority-Class: " + name + "\r\nX-Tenant-Id: " + TargetSite.tenant(tenant)
+        String request = "POST /" + name + "?work=" + workMillis + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id
+                + "\r\nX-Priority-Class: " + name + "\r\nX-Tenant-Id: " + TargetSite.tenantName(tenant)
                 + "\r\nX-Timeout-Ms: " + TargetSite.TIMEOUT_MILLIS
                 + "\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx";
-        fresh.add(new Call(scheduler, to, ByteBuffer.wrap(request.getBytes(StandardCharsets.ISO_8859_1))));
+        newTasks.add(new TaskRequest(scheduler, to, ByteBuffer.wrap(request.getBytes(StandardCharsets.ISO_8859_1))));
         selector.wakeup();
     }
 
@@ -72,69 +72,70 @@
         return answers.get(scheduler * Answer.values().length + answer.ordinal());
     }
 
-    private void carry() {
+    private void runSelector() {
         try {
             while (selector.isOpen()) {
                 selector.select();
-                for (Call call = fresh.poll(); call != null; call = fresh.poll()) {
-                    connect(call);
+                for (TaskRequest task = newTasks.poll(); task != null; task = newTasks.poll()) {
+                    connect(task);
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
-                    go(key, (Call) key.attachment());
+                    handleReady(key, (TaskRequest) key.attachment());
                 }
                 selector.selectedKeys().clear();
             }
         } catch (IOException | ClosedSelectorException e) {
-            // Closed: whatever was open is of no interest any more.
-            fresh.clear();
+            // The selector is closed; connections that are still open are dropped.
+            newTasks.clear();
         }
     }
 
-    private void connect(Call call) throws IOException {
+    private void connect(TaskRequest task) throws IOException {
         SocketChannel channel = SocketChannel.open();
         channel.configureBlocking(false);
         try {
-            boolean up = channel.connect(call.to);
-            channel.register(selector, up ? SelectionKey.OP_WRITE : SelectionKey.OP_CONNECT, call);
+            boolean up = channel.connect(task.address);
+            channel.register(selector, up ? SelectionKey.OP_WRITE : SelectionKey.OP_CONNECT, task);
         } catch (IOException e) {
             channel.close();
-            answered(call);
+            countAnswer(task);
         }
     }
 
-    private void go(SelectionKey key, Call call) throws IOException {
+    private void handleReady(SelectionKey key, TaskRequest task) throws IOException {
         SocketChannel channel = (SocketChannel) key.channel();
         try {
             if (key.isConnectable() && channel.finishConnect()) {
                 key.interestOps(SelectionKey.OP_WRITE);
             }
             if (key.isWritable()) {
-                channel.write(call.unsent);
-                key.interestOps(call.unsent.hasRemaining() ? SelectionKey.OP_WRITE : SelectionKey.OP_READ);
+                channel.write(task.unsent);
+                key.interestOps(task.unsent.hasRemaining() ? SelectionKey.OP_WRITE : SelectionKey.OP_READ);
             }
-            if (key.isReadable() && !read(channel, call)) {
+            if (key.isReadable() && !read(channel, task)) {
                 channel.close();
-                answered(call);
+                countAnswer(task);
             }
         } catch (IOException | CancelledKeyException e) {
             channel.close();
-            answered(call);
+            countAnswer(task);
         }
     }
 
-    /** Whether more may come. */
-    private boolean read(SocketChannel channel, Call call) throws IOException {
-        in.clear();
-        int count = channel.read(in);
-        in.flip();
-        while (in.hasRemaining() && call.start.length() < STATUS_TO) {
-            call.start.append((char) in.get());
+    /** Reads the available bytes; returns false at the end of the stream. */
+    private boolean read(SocketChannel channel, TaskRequest task) throws IOException {
+        readBuffer.clear();
+        int count = channel.read(readBuffer);
+        readBuffer.flip();
+        while (readBuffer.hasRemaining() && task.responseStart.length() < STATUS_END) {
+            task.responseStart.append((char) readBuffer.get());
         }
         return count >= 0;
     }
 
-    private void answered(Call call) {
-        String status = call.start.length() < STATUS_TO ? "" : call.start.substring(STATUS_FROM, STATUS_TO);
+    private void countAnswer(TaskRequest task) {
+        String status =
+                task.responseStart.length() < STATUS_END ? "" : task.responseStart.substring(STATUS_START, STATUS_END);
         Answer answer =
                 switch (status) {
                     case "200" -> Answer.SERVED;
@@ -142,7 +143,7 @@
                     case "" -> Answer.NONE;
                     default -> Answer.FAILED;
                 };
-        answers.incrementAndGet(call.scheduler * Answer.values().length + answer.ordinal());
+        answers.incrementAndGet(task.scheduler * Answer.values().length + answer.ordinal());
     }
 
     @Override
--- a/src/test/java/barrowshore/capacity/simulated/SimulatedFleetPlanTest.java
+++ b/src/test/java/barrowshore/capacity/simulated/SimulatedFleetPlanTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatCode;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import barrowshore.capacity.simulated.SimulatedFleetPlan.Machine;
+import barrowshore.capacity.simulated.SimulatedFleetPlan.MachineLimits;
 import barrowshore.config.Config;
 import barrowshore.config.ConfigException;
 import java.net.InetSocketAddress;
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Sizes that cannot be played are named on one line; what a process has used is read; configurations can be. */
+/** Tests the size checks and their one-line messages, the parsing of process usage, and the generated configuration. */
 class SimulatedFleetPlanTest {
-    private static final Machine MACHINE = new Machine(24_000, 17_000, 20_000);
+    private static final MachineLimits MACHINE = new MachineLimits(24_000, 17_000, 20_000);
 
     @ParameterizedTest
     @CsvSource({
@@ -32,7 +32,7 @@
         "770, 10, 5, 260, 1, --seconds",
         "770, 10, 5, 260, 301, --seconds"
     })
-    void aSizeOutOfBoundsIsNamed(int workers, int schedulers, int real, int starts, int seconds, String option) {
+    void namesOptionThatIsOutOfRange(int workers, int schedulers, int real, int starts, int seconds, String option) {
         assertThatThrownBy(() -> new SimulatedFleetPlan(workers, schedulers, real, starts, seconds).check(MACHINE))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(option)
@@ -41,26 +41,26 @@
     }
 
     @Test
-    void theTargetFitsAndWhatTheMachineHasNotDoesNot() {
+    void acceptsTargetSizeAndRejectsSizeBeyondMachineLimits() {
         SimulatedFleetPlan target = new SimulatedFleetPlan(770, 10, 5, 260, 30);
         assertThatCode(() -> target.check(MACHINE)).doesNotThrowAnyException();
-        assertThatThrownBy(() -> target.check(new Machine(2_000, 17_000, 20_000)))
+        assertThatThrownBy(() -> target.check(new MachineLimits(2_000, 17_000, 20_000)))
                 .hasMessageContaining("MiB of memory and may take 1000");
-        assertThatThrownBy(() -> target.check(new Machine(24_000, 900, 20_000)))
+        assertThatThrownBy(() -> target.check(new MachineLimits(24_000, 900, 20_000)))
                 .hasMessageContaining("MiB of memory and may take 900");
-        assertThatThrownBy(() -> target.check(new Machine(24_000, 17_000, 1_024)))
+        assertThatThrownBy(() -> target.check(new MachineLimits(24_000, 17_000, 1_024)))
                 .hasMessageContaining("open files and may take 1024");
     }
 
     @Test
-    void whatAProcessHasUsedIsReadPastItsName() {
+    void parsesUsageOfProcessWithBracketsInItsName() {
         ProcessUsage usage = ProcessUsage.parse(
                 "7 (a) b) S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20", "Name:\ta\nVmHWM:\t  2048 kB\nVmRSS:\t  1024 kB\n", 3);
         assertThat(usage).isEqualTo(new ProcessUsage(2_000_000_000L, 1, 2, 3));
     }
 
     @Test
-    void aConfigurationIsWholeAndEachStartHasASeedOfItsOwn() {
+    void configurationIsCompleteAndEachStartHasItsOwnSeed() {
         InetSocketAddress some = new InetSocketAddress("127.0.0.1", 9);
         TargetSite.Addresses at = new TargetSite.Addresses(some, some, some, List.of(some, some), some);
         Config first = Config.parse(TargetSite.configuration(1, 0, 0, 260, at));
@@ -69,7 +69,7 @@
         assertThat(first.tenants()).hasSize(43);
         assertThat(later.settings().seed).isNotEqualTo(first.settings().seed);
         assertThat(first.fieldsNeedingRestart(later))
-                .as("a reload takes over all that changes")
+                .as("all changed fields can be applied by a reload")
                 .isEmpty();
         assertThat(later.settings().tenantQuota).isNotEqualTo(first.settings().tenantQuota);
     }
