--- a/src/main/java/barrowshore/ops/OpsServer.java
+++ b/src/main/java/barrowshore/ops/OpsServer.java
@@ -40,7 +40,7 @@
     /** Connections that may be accepted while evicted ones have yet to release their descriptors. */
     private static final int EVICTION_HEADROOM_CONNECTIONS = 8;
 
-    private static final int MAX_HEADER_BYTES = 4096;
+    private static final int MAX_CALL_HEADER_BYTES = 4096;
     private static final int MAX_BODY_BYTES = 4096;
     /** Time for a request to arrive completely. */
     private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
@@ -151,7 +151,7 @@
 
         OpsConnection(EndPoint endPoint) {
             super(endPoint, new Mailbox("an ops connection", pool), timers);
-            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADER_BYTES, HttpCompliance.RFC9110);
+            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_CALL_HEADER_BYTES, HttpCompliance.RFC9110);
         }
 
         @Override
