--- a/src/main/java/barrowshore/capacity/CallMeter.java
+++ b/src/main/java/barrowshore/capacity/CallMeter.java
@@ -15,8 +15,8 @@
 
     private final LongSupplier nanos;
     private final long readingCost;
-    private final long[] spent = new long[CallKind.values().length];
-    private final long[] calls = new long[CallKind.values().length];
+    private final long[] nanosByKind = new long[CallKind.values().length];
+    private final long[] callsByKind = new long[CallKind.values().length];
 
     private CallMeter(LongSupplier nanos, long readingCost) {
         this.nanos = nanos;
@@ -43,26 +43,26 @@
         return (nanos.getAsLong() - before) / CALIBRATION_READS;
     }
 
-    void call(CallKind kind, Runnable call) {
+    void measure(CallKind kind, Runnable call) {
         long before = nanos.getAsLong();
         call.run();
         long took = nanos.getAsLong() - before - readingCost;
-        spent[kind.ordinal()] += Math.max(0, took);
-        calls[kind.ordinal()]++;
+        nanosByKind[kind.ordinal()] += Math.max(0, took);
+        callsByKind[kind.ordinal()]++;
     }
 
     /** Forgets what was before the measured time. */
     void reset() {
-        Arrays.fill(spent, 0);
-        Arrays.fill(calls, 0);
+        Arrays.fill(nanosByKind, 0);
+        Arrays.fill(callsByKind, 0);
     }
 
     long nanos(CallKind kind) {
-        return spent[kind.ordinal()];
+        return nanosByKind[kind.ordinal()];
     }
 
     long calls(CallKind kind) {
-        return calls[kind.ordinal()];
+        return callsByKind[kind.ordinal()];
     }
 
     /** Nanoseconds of all calls that are control, or of all that are not. */
--- a/src/main/java/barrowshore/capacity/CapacityReport.java
+++ b/src/main/java/barrowshore/capacity/CapacityReport.java
@@ -31,17 +31,17 @@
                 options.seconds());
         out.println(row("", "unit", "median", "min", "max", "limit"));
         for (Metric metric : Metric.values()) {
-            Spread spread = at.get(metric);
+            MedianAndRange spread = at.get(metric);
             if (spread.measured()) {
                 String limit = metric.limited() ? number(metric.limit) : "";
                 out.println(row(
                                 metric.label,
                                 metric.unit,
                                 number(spread.median()),
-                                metric.varies ? number(spread.least()) : "",
-                                metric.varies ? number(spread.most()) : "",
+                                metric.varies ? number(spread.min()) : "",
+                                metric.varies ? number(spread.max()) : "",
                                 limit)
-                        + (at.passesLimit(metric) ? "  PASSED" : ""));
+                        + (at.exceedsLimit(metric) ? "  PASSED" : ""));
             }
         }
         out.println();
@@ -132,7 +132,7 @@
             Metric metric,
             Optional<LineFit> fit,
             double baseSize) {
-        Spread spread = point.get(metric);
+        MedianAndRange spread = point.get(metric);
         if (!spread.measured()) {
             return;
         }
@@ -150,8 +150,8 @@
                 metric.key(),
                 metric.unit,
                 spread.median(),
-                spread.least(),
-                spread.most(),
+                spread.min(),
+                spread.max(),
                 fit.map(f -> "" + f.intercept()).orElse(""),
                 fit.map(f -> "" + f.slope()).orElse(""),
                 fit.map(f -> "" + f.residual()).orElse(""),
--- a/src/main/java/barrowshore/capacity/CapacityRun.java
+++ b/src/main/java/barrowshore/capacity/CapacityRun.java
@@ -14,7 +14,7 @@
 /** Plays the base size and the sweeps, each size once however many sweeps have it, and reports what was measured. */
 public final class CapacityRun {
     /** A play of a small fleet before the first that is timed, so that the module's code is compiled by then. */
-    private static final FleetSize SMALL = FleetSize.target().withWorkers(96);
+    private static final FleetSize COMPILE_WARM_UP_SIZE = FleetSize.target().withWorkers(96);
 
     private final FleetSize base;
     private final SimulationOptions options;
@@ -42,7 +42,7 @@
         CapacityRun run = new CapacityRun(base, options);
         CapacityReport report = new CapacityReport(options);
         if (options.timed()) {
-            new FleetPlay(SMALL, options).play();
+            new FleetSimulation(COMPILE_WARM_UP_SIZE, options).run();
         }
         FleetMeasurement atBase = run.measure(base);
         report.print(out, atBase);
@@ -55,7 +55,7 @@
         if (csv != null) {
             report.write(csv, atBase, results);
         }
-        return Arrays.stream(Metric.values()).noneMatch(atBase::passesLimit);
+        return Arrays.stream(Metric.values()).noneMatch(atBase::exceedsLimit);
     }
 
     /** What is measured for long is not to be lost for want of a folder. */
@@ -73,13 +73,13 @@
     }
 
     private FleetMeasurement measure(FleetSize size) {
-        return measured.computeIfAbsent(size, this::play);
+        return measured.computeIfAbsent(size, this::simulate);
     }
 
-    private FleetMeasurement play(FleetSize size) {
+    private FleetMeasurement simulate(FleetSize size) {
         List<FleetCost> plays = new ArrayList<>();
         for (int play = 0; play < options.playsOfASize(); play++) {
-            plays.add(new FleetPlay(size, options).play());
+            plays.add(new FleetSimulation(size, options).run());
         }
         return FleetMeasurement.of(size, plays);
     }
--- a/src/main/java/barrowshore/capacity/DatagramCount.java
+++ b/src/main/java/barrowshore/capacity/DatagramCount.java
@@ -10,12 +10,12 @@
     private long received;
     private long receivedBytes;
 
-    void out(byte[] message) {
+    void countSent(byte[] message) {
         sent++;
         sentBytes += message.length + HEADER_BYTES;
     }
 
-    void in(byte[] message) {
+    void countReceived(byte[] message) {
         received++;
         receivedBytes += message.length + HEADER_BYTES;
     }
--- a/src/main/java/barrowshore/capacity/FleetCost.java
+++ b/src/main/java/barrowshore/capacity/FleetCost.java
@@ -7,7 +7,7 @@
 
 /** What one play cost each scheduler, on average over all of them; metrics that were not measured are left out. */
 public final class FleetCost {
-    private static final double NANOS = 1e9, NANOS_PER_MICRO = 1e3, PERCENT = 100;
+    private static final double NANOS_PER_SECOND = 1e9, NANOS_PER_MICRO = 1e3, PERCENT = 100;
 
     /** The serial collector leaves some of what is dead in place, but for each fourth time. */
     private static final int COLLECTIONS = 4;
@@ -19,17 +19,17 @@
     static FleetCost of(
             FleetSize size,
             SimulationOptions options,
-            List<PlayedScheduler> schedulers,
-            FleetPlay.EffortReading visits,
-            FleetPlay.Workload workload) {
+            List<SimulatedDispatcher> schedulers,
+            FleetSimulation.VisitCounts visits,
+            FleetSimulation.Workload workload) {
         FleetCost cost = new FleetCost();
-        cost.workload(workload, options.seconds());
-        cost.exchange(size, new PerScheduler(schedulers), options.seconds());
-        cost.visits(visits, schedulers.size(), options.seconds());
-        cost.held(schedulers);
+        cost.putWorkload(workload, options.seconds());
+        cost.putExchange(size, new PerScheduler(schedulers), options.seconds());
+        cost.putVisits(visits, schedulers.size(), options.seconds());
+        cost.putHeldState(schedulers);
         if (options.timed()) {
-            cost.times(new PerScheduler(schedulers), options.seconds());
-            cost.values.put(Metric.HEAP_HELD, heapOf(schedulers));
+            cost.putTimes(new PerScheduler(schedulers), options.seconds());
+            cost.values.put(Metric.HEAP_HELD, heapPerModule(schedulers));
         }
         return cost;
     }
@@ -40,22 +40,22 @@
     }
 
     /** Sums over the schedulers. */
-    private record PerScheduler(List<PlayedScheduler> schedulers) {
-        double mean(ToLongFunction<PlayedScheduler> figure) {
+    private record PerScheduler(List<SimulatedDispatcher> schedulers) {
+        double mean(ToLongFunction<SimulatedDispatcher> figure) {
             return schedulers.stream().mapToLong(figure).average().orElseThrow();
         }
     }
 
-    private void workload(FleetPlay.Workload workload, int seconds) {
+    private void putWorkload(FleetSimulation.Workload workload, int seconds) {
         values.put(Metric.STARTED, workload.started() / (double) seconds);
-        values.put(Metric.STARTED_AGAIN, workload.startedAgain() / (double) seconds);
+        values.put(Metric.STARTED_AGAIN, workload.hedgesStarted() / (double) seconds);
         values.put(Metric.RUNNING, workload.running());
-        values.put(Metric.TURNED_DOWN, PERCENT * workload.turnedDown() / workload.asked());
-        values.put(Metric.FAILED, PERCENT * workload.failed() / workload.asked());
-        values.put(Metric.URGENT_START_P99, workload.urgentStart());
+        values.put(Metric.TURNED_DOWN, PERCENT * workload.refused() / workload.requests());
+        values.put(Metric.FAILED, PERCENT * workload.failed() / workload.requests());
+        values.put(Metric.URGENT_START_P99, workload.urgentStartSeconds());
     }
 
-    private void exchange(FleetSize size, PerScheduler each, int seconds) {
+    private void putExchange(FleetSize size, PerScheduler each, int seconds) {
         int peers = size.schedulers() - 1;
         double sent = each.mean(s -> s.datagrams.sent()) / seconds;
         double sentBytes = each.mean(s -> s.datagrams.sentBytes()) / seconds;
@@ -67,60 +67,61 @@
         values.put(Metric.BYTES_OUT_PER_PEER, sentBytes * peers);
         values.put(Metric.BYTES_IN, receivedBytes);
         values.put(Metric.CONTROL_BYTES, sentBytes + receivedBytes);
-        values.put(Metric.LIST_ENTRIES, each.mean(PlayedScheduler::entriesApplied) / seconds);
+        values.put(Metric.LIST_ENTRIES, each.mean(SimulatedDispatcher::entriesApplied) / seconds);
         values.put(Metric.SETTINGS_CHANGES, each.mean(s -> s.meter.calls(CallKind.SETTINGS)) / seconds);
     }
 
-    private void visits(FleetPlay.EffortReading visits, int schedulers, int seconds) {
+    private void putVisits(FleetSimulation.VisitCounts visits, int schedulers, int seconds) {
         double schedulerSeconds = (double) schedulers * seconds;
         values.put(Metric.REFRESHES, visits.refreshes() / schedulerSeconds);
-        put(Metric.REFRESH_VISITS, visits.refreshVisits(), visits.refreshes());
-        put(Metric.DATAGRAM_VISITS, visits.datagramVisits(), visits.datagrams());
-        put(Metric.PICK_VISITS, visits.pickVisits(), visits.picks());
+        putRatio(Metric.REFRESH_VISITS, visits.refreshVisits(), visits.refreshes());
+        putRatio(Metric.DATAGRAM_VISITS, visits.datagramVisits(), visits.datagrams());
+        putRatio(Metric.PICK_VISITS, visits.pickVisits(), visits.picks());
         values.put(Metric.UPKEEP_VISITS, (visits.refreshVisits() + visits.datagramVisits()) / schedulerSeconds);
     }
 
-    private void held(List<PlayedScheduler> schedulers) {
-        List<HeldState> held = schedulers.stream().map(PlayedScheduler::held).toList();
+    private void putHeldState(List<SimulatedDispatcher> schedulers) {
+        List<ObjectGraphSize> held =
+                schedulers.stream().map(SimulatedDispatcher::heldState).toList();
         values.put(
                 Metric.ENTRIES_HELD,
-                held.stream().mapToLong(HeldState::entries).average().orElseThrow());
+                held.stream().mapToLong(ObjectGraphSize::entries).average().orElseThrow());
         values.put(
                 Metric.BYTES_HELD,
-                held.stream().mapToLong(HeldState::bytes).average().orElseThrow());
+                held.stream().mapToLong(ObjectGraphSize::bytes).average().orElseThrow());
     }
 
-    private void times(PerScheduler each, int seconds) {
-        values.put(Metric.CONTROL_TIME, share(each.mean(s -> s.meter.nanos(true)), seconds));
-        values.put(Metric.REQUEST_TIME, share(each.mean(s -> s.meter.nanos(false)), seconds));
-        time(each, seconds, CallKind.REFRESH, Metric.REFRESH_TIME, Metric.MICROS_PER_REFRESH);
-        time(each, seconds, CallKind.DATAGRAM, Metric.DATAGRAM_TIME, Metric.MICROS_PER_DATAGRAM);
-        time(each, seconds, CallKind.LIST, Metric.LIST_TIME, Metric.MICROS_PER_LIST_CHANGE);
-        time(each, seconds, CallKind.SETTINGS, Metric.SETTINGS_TIME, Metric.MICROS_PER_SETTINGS_CHANGE);
+    private void putTimes(PerScheduler each, int seconds) {
+        values.put(Metric.CONTROL_TIME, percentOfCore(each.mean(s -> s.meter.nanos(true)), seconds));
+        values.put(Metric.REQUEST_TIME, percentOfCore(each.mean(s -> s.meter.nanos(false)), seconds));
+        putTime(each, seconds, CallKind.REFRESH, Metric.REFRESH_TIME, Metric.MICROS_PER_REFRESH);
+        putTime(each, seconds, CallKind.DATAGRAM, Metric.DATAGRAM_TIME, Metric.MICROS_PER_DATAGRAM);
+        putTime(each, seconds, CallKind.LIST, Metric.LIST_TIME, Metric.MICROS_PER_LIST_CHANGE);
+        putTime(each, seconds, CallKind.SETTINGS, Metric.SETTINGS_TIME, Metric.MICROS_PER_SETTINGS_CHANGE);
         double requests = each.mean(s -> s.meter.calls(CallKind.REQUEST));
-        put(Metric.MICROS_PER_REQUEST, each.mean(s -> s.meter.nanos(false)) / NANOS_PER_MICRO, requests);
+        putRatio(Metric.MICROS_PER_REQUEST, each.mean(s -> s.meter.nanos(false)) / NANOS_PER_MICRO, requests);
     }
 
-    private void time(PerScheduler each, int seconds, CallKind kind, Metric ofCore, Metric ofCall) {
+    private void putTime(PerScheduler each, int seconds, CallKind kind, Metric ofCore, Metric ofCall) {
         double nanos = each.mean(s -> s.meter.nanos(kind));
-        values.put(ofCore, share(nanos, seconds));
-        put(ofCall, nanos / NANOS_PER_MICRO, each.mean(s -> s.meter.calls(kind)));
+        values.put(ofCore, percentOfCore(nanos, seconds));
+        putRatio(ofCall, nanos / NANOS_PER_MICRO, each.mean(s -> s.meter.calls(kind)));
     }
 
-    private void put(Metric metric, double sum, double count) {
+    private void putRatio(Metric metric, double sum, double count) {
         if (count > 0) {
             values.put(metric, sum / count);
         }
     }
 
-    private static double share(double nanos, int seconds) {
-        return PERCENT * nanos / (seconds * NANOS);
+    private static double percentOfCore(double nanos, int seconds) {
+        return PERCENT * nanos / (seconds * NANOS_PER_SECOND);
     }
 
     /** The heap that comes free when the schedulers let go of their modules, for each of them. */
-    private static double heapOf(List<PlayedScheduler> schedulers) {
+    private static double heapPerModule(List<SimulatedDispatcher> schedulers) {
         long before = heapAfterCollection();
-        schedulers.forEach(PlayedScheduler::forget);
+        schedulers.forEach(SimulatedDispatcher::releaseModule);
         long after = heapAfterCollection();
         return Math.max(0, before - after) / (double) schedulers.size();
     }
--- a/src/main/java/barrowshore/capacity/FleetMeasurement.java
+++ b/src/main/java/barrowshore/capacity/FleetMeasurement.java
@@ -7,7 +7,7 @@
 /** A fleet of one size, played as often as the options say. */
 final class FleetMeasurement {
     private final FleetSize size;
-    private final Map<Metric, Spread> spreads = new EnumMap<>(Metric.class);
+    private final Map<Metric, MedianAndRange> summaries = new EnumMap<>(Metric.class);
 
     private FleetMeasurement(FleetSize size) {
         this.size = size;
@@ -16,12 +16,12 @@
     static FleetMeasurement of(FleetSize size, List<FleetCost> plays) {
         FleetMeasurement measurement = new FleetMeasurement(size);
         for (Metric metric : Metric.values()) {
-            Spread spread =
-                    Spread.of(plays.stream().mapToDouble(p -> p.get(metric)).toArray());
-            if (!metric.varies && spread.measured() && spread.least() != spread.most()) {
+            MedianAndRange spread = MedianAndRange.of(
+                    plays.stream().mapToDouble(p -> p.get(metric)).toArray());
+            if (!metric.varies && spread.measured() && spread.min() != spread.max()) {
                 throw new IllegalStateException(metric.label + " differs between plays of one seed: " + spread);
             }
-            measurement.spreads.put(metric, spread);
+            measurement.summaries.put(metric, spread);
         }
         return measurement;
     }
@@ -30,12 +30,12 @@
         return size;
     }
 
-    Spread get(Metric metric) {
-        return spreads.get(metric);
+    MedianAndRange get(Metric metric) {
+        return summaries.get(metric);
     }
 
     /** Whether the metric was measured and is above its limit. */
-    boolean passesLimit(Metric metric) {
+    boolean exceedsLimit(Metric metric) {
         return metric.limited() && get(metric).median() > metric.limit;
     }
 }
--- a/src/main/java/barrowshore/capacity/FleetPlay.java
+++ b/src/main/java/barrowshore/capacity/FleetSimulation.java
@@ -20,16 +20,16 @@
  * in slots. It fills the fleet first, lets it settle, and then measures. All chance comes from the seed, so that the counts
  * of a play are the same each time.
  */
-final class FleetPlay implements PlayedScheduler.Fleet {
-    private static final long MS = 1_000, S = 1_000_000;
+final class FleetSimulation implements SimulatedDispatcher.Fleet {
+    private static final long MICROS_PER_MILLI = 1_000, MICROS_PER_SECOND = 1_000_000;
     /** When a play begins, on its own clock: late enough that 0 means long ago. */
-    private static final long START = 1_000 * S;
+    private static final long START_MICROS = 1_000 * MICROS_PER_SECOND;
     /** Seconds in which the tasks come that a fleet has under way, and all seconds before it is measured. */
     private static final int FILL_SECONDS = 1, WARM_UP_SECONDS = 10;
 
     private static final int WORKERS_PER_CELL = 4;
     /** How long a machine drains before another takes its place. */
-    private static final long DRAIN = 2 * S;
+    private static final long DRAIN_MICROS = 2 * MICROS_PER_SECOND;
     /** What tenants may send together, over what they do send. */
     private static final double QUOTA_MARGIN = 1.2;
     /** How far a change of configuration moves a quota. */
@@ -37,24 +37,24 @@
 
     private final FleetSize size;
     private final SimulationOptions options;
-    private final VirtualClock kernel = new VirtualClock(START);
+    private final VirtualClock clock = new VirtualClock(START_MICROS);
     private final Arrivals arrivals;
     private final UniformRandomProvider random;
     private final UniformRandomProvider changes;
-    private final Map<String, PlayedWorker> workers = new HashMap<>();
-    private final List<PlayedWorker> listed = new ArrayList<>();
-    private final List<PlayedScheduler> schedulers = new ArrayList<>();
+    private final Map<String, SimulatedWorker> workers = new HashMap<>();
+    private final List<SimulatedWorker> listed = new ArrayList<>();
+    private final List<SimulatedDispatcher> schedulers = new ArrayList<>();
     private final StartDelays urgentStarts = new StartDelays();
     private boolean measuring;
-    private long asked;
+    private long requests;
     private long started;
-    private long startedAgain;
-    private long turnedDown;
+    private long hedgesStarted;
+    private long refused;
     private long failed;
     private int replacements;
     private int settingsChanges;
 
-    FleetPlay(FleetSize size, SimulationOptions options) {
+    FleetSimulation(FleetSize size, SimulationOptions options) {
         this.size = size;
         this.options = options;
         arrivals = new Arrivals(size, options.seed());
@@ -63,15 +63,15 @@
         int zones = CapacityTarget.TARGET.zones();
         for (int w = 0; w < size.workers(); w++) {
             int cell = w / (zones * WORKERS_PER_CELL) * zones + w % zones;
-            join(new PlayedWorker("worker-" + w, w % zones, cell, size.slotsPerWorker(), kernel));
+            addWorker(new SimulatedWorker("worker-" + w, w % zones, cell, size.slotsPerWorker(), clock));
         }
         for (int s = 0; s < size.schedulers(); s++) {
             CallMeter meter = options.timed() ? CallMeter.ofThisThread() : CallMeter.countsOnly();
-            schedulers.add(new PlayedScheduler(s, s % zones, settings(s), meter, kernel, this));
+            schedulers.add(new SimulatedDispatcher(s, s % zones, settings(s), meter, clock, this));
         }
     }
 
-    private void join(PlayedWorker worker) {
+    private void addWorker(SimulatedWorker worker) {
         workers.put(worker.id, worker);
         listed.add(worker);
     }
@@ -83,22 +83,22 @@
         set.dispatchers = size.schedulers();
         set.ownIndex = number;
         set.zone = number % CapacityTarget.TARGET.zones();
-        set.tickMicros = 5 * MS;
+        set.tickMicros = 5 * MICROS_PER_MILLI;
         set.classes = TaskKind.classes();
         set.tenantQuota = quotas();
         set.maxAttempts = 5;
         set.mayHedge = true;
         set.mayCancel = true;
         set.mayMessagePeers = true;
-        set.maxRetryAfterMicros = 2 * S;
+        set.maxRetryAfterMicros = 2 * MICROS_PER_SECOND;
         set.reportSource = options.reports() ? ReportSource.ANSWERS : ReportSource.NONE;
         set.notesStart = true;
-        set.progressMicros = PlayedWorker.PROGRESS_EVERY;
-        set.connectTimeoutMicros = 250 * MS;
+        set.progressMicros = SimulatedWorker.PROGRESS_INTERVAL_MICROS;
+        set.connectTimeoutMicros = 250 * MICROS_PER_MILLI;
         set.startCapacity = 0.17;
-        set.warmUpMicros = 22 * S;
+        set.warmUpMicros = 22 * MICROS_PER_SECOND;
         set.overloadMultiple = 3;
-        set.overloadWindowMicros = 2 * S;
+        set.overloadWindowMicros = 2 * MICROS_PER_SECOND;
         set.crossZoneCharge = 0.1;
         return set;
     }
@@ -110,32 +110,34 @@
     }
 
     /** Plays it and returns what each scheduler spent, on average over all of them. */
-    FleetCost play() {
+    FleetCost run() {
         List<Member> whole = listed.stream().map(w -> w.entry(Health.READY)).toList();
         schedulers.forEach(s -> s.start(whole));
-        kernel.runAfter(1, this::fill);
-        kernel.runAfter(1, this::arrive);
-        every(size.listChangesPerSecond(), this::replaceOne);
-        every(size.settingsChangesPerSecond(), this::changeSettings);
-        kernel.runUntil(START + WARM_UP_SECONDS * S);
-        List<EffortReading> before =
-                schedulers.stream().map(s -> EffortReading.of(s.effort())).toList();
-        schedulers.forEach(PlayedScheduler::reset);
+        clock.runAfter(1, this::startRunningTask);
+        clock.runAfter(1, this::startNewTask);
+        schedule(size.listChangesPerSecond(), this::replaceWorker);
+        schedule(size.settingsChangesPerSecond(), this::changeSettings);
+        clock.runUntil(START_MICROS + WARM_UP_SECONDS * MICROS_PER_SECOND);
+        List<VisitCounts> before =
+                schedulers.stream().map(s -> VisitCounts.of(s.workCounters())).toList();
+        schedulers.forEach(SimulatedDispatcher::reset);
         measuring = true;
         long running = 0;
         for (int second = 1; second <= options.seconds(); second++) {
-            kernel.runUntil(START + (WARM_UP_SECONDS + second) * S);
-            running += workers.values().stream().mapToInt(PlayedWorker::running).sum();
+            clock.runUntil(START_MICROS + (WARM_UP_SECONDS + second) * MICROS_PER_SECOND);
+            running +=
+                    workers.values().stream().mapToInt(SimulatedWorker::running).sum();
         }
-        EffortReading visits = EffortReading.NONE;
+        VisitCounts visits = VisitCounts.NONE;
         for (int s = 0; s < schedulers.size(); s++) {
-            visits = visits.plus(EffortReading.of(schedulers.get(s).effort()).minus(before.get(s)));
+            visits =
+                    visits.plus(VisitCounts.of(schedulers.get(s).workCounters()).minus(before.get(s)));
         }
         Workload workload = new Workload(
-                asked,
+                requests,
                 started,
-                startedAgain,
-                turnedDown,
+                hedgesStarted,
+                refused,
                 failed,
                 running / (double) options.seconds(),
                 urgentStarts.percentile(99));
@@ -143,52 +145,52 @@
     }
 
     /** Begins the tasks that a fleet of this size has under way. */
-    private void fill() {
+    private void startRunningTask() {
         double rate = size.runningTasks() / FILL_SECONDS;
-        if (kernel.now() < START + FILL_SECONDS * S) {
-            request(arrivals.underWay());
-            kernel.runAfter(arrivals.pause(rate), this::fill);
+        if (clock.now() < START_MICROS + FILL_SECONDS * MICROS_PER_SECOND) {
+            request(arrivals.nextRunning());
+            clock.runAfter(arrivals.microsUntilNext(rate), this::startRunningTask);
         }
     }
 
-    private void arrive() {
+    private void startNewTask() {
         request(arrivals.next());
-        kernel.runAfter(arrivals.pause(size.startsPerSecond()), this::arrive);
+        clock.runAfter(arrivals.microsUntilNext(size.startsPerSecond()), this::startNewTask);
     }
 
     private void request(Arrivals.Arrival arrival) {
-        asked += measuring ? 1 : 0;
-        schedulers.get(arrival.scheduler()).request(options.guesses() ? arrival : arrival.withoutGuess());
+        requests += measuring ? 1 : 0;
+        schedulers.get(arrival.scheduler()).request(options.guesses() ? arrival : arrival.withoutEstimate());
     }
 
-    private void every(double perSecond, Runnable change) {
+    private void schedule(double perSecond, Runnable change) {
         if (perSecond > 0) {
-            long interval = (long) (S / perSecond);
-            kernel.runAfter(interval / 2, () -> repeat(interval, change));
+            long interval = (long) (MICROS_PER_SECOND / perSecond);
+            clock.runAfter(interval / 2, () -> repeat(interval, change));
         }
     }
 
     private void repeat(long interval, Runnable change) {
         change.run();
-        kernel.runAfter(interval, () -> repeat(interval, change));
+        clock.runAfter(interval, () -> repeat(interval, change));
     }
 
     /** By turns a machine drains, and the one that drained longest ago makes room for another of another name. */
-    private void replaceOne() {
-        PlayedWorker old = listed.remove(changes.nextInt(listed.size()));
-        list(List.of(old.entry(Health.DRAINING)));
-        PlayedWorker next = old.replacement("replacement-" + ++replacements);
-        kernel.runAfter(DRAIN, () -> {
-            join(next);
-            list(List.of(old.entry(Health.GONE), next.entry(Health.READY)));
+    private void replaceWorker() {
+        SimulatedWorker old = listed.remove(changes.nextInt(listed.size()));
+        sendListChange(List.of(old.entry(Health.DRAINING)));
+        SimulatedWorker next = old.replacement("replacement-" + ++replacements);
+        clock.runAfter(DRAIN_MICROS, () -> {
+            addWorker(next);
+            sendListChange(List.of(old.entry(Health.GONE), next.entry(Health.READY)));
         });
     }
 
     /** The list hears of it late, each scheduler a little apart. */
-    private void list(List<Member> entries) {
-        long late = between(260, 1_800);
-        for (PlayedScheduler s : schedulers) {
-            kernel.runAfter(late + between(13, 110), () -> s.list(ListKind.CHANGES, entries));
+    private void sendListChange(List<Member> entries) {
+        long late = randomMicros(260, 1_800);
+        for (SimulatedDispatcher s : schedulers) {
+            clock.runAfter(late + randomMicros(13, 110), () -> s.list(ListKind.CHANGES, entries));
         }
     }
 
@@ -196,30 +198,30 @@
         double[] quotas = quotas();
         quotas[settingsChanges % quotas.length] *= 1 + QUOTA_CHANGE * (1 + settingsChanges % 2);
         settingsChanges++;
-        for (PlayedScheduler s : schedulers) {
-            kernel.runAfter(between(13, 110), () -> s.quotas(quotas));
+        for (SimulatedDispatcher s : schedulers) {
+            clock.runAfter(randomMicros(13, 110), () -> s.quotas(quotas));
         }
     }
 
-    private long between(int fromMillis, int toMillis) {
-        return (long) ((fromMillis + (toMillis - fromMillis) * random.nextDouble()) * MS);
+    private long randomMicros(int fromMillis, int toMillis) {
+        return (long) ((fromMillis + (toMillis - fromMillis) * random.nextDouble()) * MICROS_PER_MILLI);
     }
 
     // What lies round the schedulers.
 
     @Override
-    public PlayedWorker worker(String id) {
+    public SimulatedWorker worker(String id) {
         return workers.get(id);
     }
 
     @Override
-    public long way(int from, int to) {
+    public long oneWayMicros(int from, int to) {
         return from == to ? 130 + random.nextInt(190) : 420 + random.nextInt(360);
     }
 
     @Override
-    public void tellOthers(PlayedScheduler from, byte[] message) {
-        for (PlayedScheduler other : schedulers) {
+    public void broadcast(SimulatedDispatcher from, byte[] message) {
+        for (SimulatedDispatcher other : schedulers) {
             if (other != from && random.nextDouble() >= options.loss()) {
                 deliver(from.number, other, message);
                 if (random.nextDouble() < options.doubled()) {
@@ -230,8 +232,8 @@
     }
 
     /** Each datagram takes its own time, so that they overtake one another. */
-    private void deliver(int from, PlayedScheduler to, byte[] message) {
-        kernel.runAfter(between(1, 10), () -> to.heard(from, message));
+    private void deliver(int from, SimulatedDispatcher to, byte[] message) {
+        clock.runAfter(randomMicros(1, 10), () -> to.receive(from, message));
     }
 
     @Override
@@ -243,13 +245,13 @@
     }
 
     @Override
-    public void startedAgain() {
-        startedAgain += measuring ? 1 : 0;
+    public void hedgeStarted() {
+        hedgesStarted += measuring ? 1 : 0;
     }
 
     @Override
-    public void turnedDown() {
-        turnedDown += measuring ? 1 : 0;
+    public void refused() {
+        refused += measuring ? 1 : 0;
     }
 
     @Override
@@ -259,21 +261,21 @@
 
     /** What clients asked for in the measured time, and what came of it; the urgent tasks' start in seconds. */
     record Workload(
-            long asked,
+            long requests,
             long started,
-            long startedAgain,
-            long turnedDown,
+            long hedgesStarted,
+            long refused,
             long failed,
             double running,
-            double urgentStart) {}
+            double urgentStartSeconds) {}
 
     /** The module's own counts at one moment, or the difference of two. */
-    record EffortReading(
+    record VisitCounts(
             long refreshes, long refreshVisits, long datagrams, long datagramVisits, long picks, long pickVisits) {
-        static final EffortReading NONE = new EffortReading(0, 0, 0, 0, 0, 0);
+        static final VisitCounts NONE = new VisitCounts(0, 0, 0, 0, 0, 0);
 
-        static EffortReading of(WorkCounters effort) {
-            return new EffortReading(
+        static VisitCounts of(WorkCounters effort) {
+            return new VisitCounts(
                     effort.refreshes(),
                     effort.refreshVisits(),
                     effort.datagrams(),
@@ -282,8 +284,8 @@
                     effort.pickVisits());
         }
 
-        EffortReading plus(EffortReading o) {
-            return new EffortReading(
+        VisitCounts plus(VisitCounts o) {
+            return new VisitCounts(
                     refreshes + o.refreshes,
                     refreshVisits + o.refreshVisits,
                     datagrams + o.datagrams,
@@ -292,8 +294,8 @@
                     pickVisits + o.pickVisits);
         }
 
-        EffortReading minus(EffortReading o) {
-            return new EffortReading(
+        VisitCounts minus(VisitCounts o) {
+            return new VisitCounts(
                     refreshes - o.refreshes,
                     refreshVisits - o.refreshVisits,
                     datagrams - o.datagrams,
--- a/src/main/java/barrowshore/capacity/FleetSize.java
+++ b/src/main/java/barrowshore/capacity/FleetSize.java
@@ -10,21 +10,21 @@
         int tenants,
         double listChangesPerSecond,
         double settingsChangesPerSecond) {
-    private static final int MOST_WORKERS = 100_000;
-    private static final int MOST_SCHEDULERS = 1_000;
-    private static final int MOST_STARTS = 100_000;
-    private static final int MOST_TENANTS = 100_000;
-    private static final int MOST_CHANGES = 1_000;
+    private static final int MAX_WORKERS = 100_000;
+    private static final int MAX_SCHEDULERS = 1_000;
+    private static final int MAX_STARTS_PER_SECOND = 100_000;
+    private static final int MAX_TENANTS = 100_000;
+    private static final int MAX_CHANGES_PER_SECOND = 1_000;
 
     /** Slots of the fleet for each task that runs on average: about 78 % are taken. */
     private static final double SLOTS_PER_RUNNING_TASK = 1.28;
 
     /** Bytes that a scheduler holds for a worker, for what one peer tells of one, and for a request under way. */
-    private static final long BYTES_PER_WORKER = 1_000, BYTES_PER_TOLD_FIGURE = 72, BYTES_PER_TASK = 3_000;
+    private static final long BYTES_PER_WORKER = 1_000, BYTES_PER_PEER_REPORT = 72, BYTES_PER_TASK = 3_000;
 
     private static final long BYTES_PER_SCHEDULER = 1 << 20, BYTES_PER_TENANT = 16;
     /** The share of the heap that a play may be expected to fill. */
-    private static final double USABLE_HEAP = 0.6;
+    private static final double USABLE_HEAP_SHARE = 0.6;
 
     /** The size of the target. */
     public static FleetSize target() {
@@ -82,14 +82,14 @@
 
     /** Throws a {@link ConfigException} that names the first size that cannot be played in so much memory. */
     public void validate(long heapBytes) {
-        require("--workers", workers, MOST_WORKERS);
-        require("--schedulers", schedulers, MOST_SCHEDULERS);
-        require("--starts", startsPerSecond, MOST_STARTS);
-        require("--tenants", tenants, MOST_TENANTS);
+        require("--workers", workers, MAX_WORKERS);
+        require("--schedulers", schedulers, MAX_SCHEDULERS);
+        require("--starts", startsPerSecond, MAX_STARTS_PER_SECOND);
+        require("--tenants", tenants, MAX_TENANTS);
         requireRate("--list-changes", listChangesPerSecond);
         requireRate("--config-changes", settingsChangesPerSecond);
         long needed = estimatedBytes();
-        long usable = (long) (heapBytes * USABLE_HEAP);
+        long usable = (long) (heapBytes * USABLE_HEAP_SHARE);
         if (needed > usable) {
             throw new ConfigException("capacity: " + workers + " workers and " + schedulers + " schedulers need about "
                     + (needed >> 20) + " MiB, more than the " + (usable >> 20) + " MiB that this JVM may fill (-Xmx)");
@@ -98,20 +98,20 @@
 
     /** Bytes that a play of this size is expected to hold at most. */
     long estimatedBytes() {
-        long perWorker = BYTES_PER_WORKER + BYTES_PER_TOLD_FIGURE * schedulers;
+        long perWorker = BYTES_PER_WORKER + BYTES_PER_PEER_REPORT * schedulers;
         long perScheduler = BYTES_PER_SCHEDULER + perWorker * workers + BYTES_PER_TENANT * tenants;
         return perScheduler * schedulers + BYTES_PER_TASK * (long) runningTasks();
     }
 
-    private static void require(String option, double value, int most) {
-        if (!(value > 0 && value <= most)) {
-            throw new ConfigException(option + " must be above 0 and at most " + most + ", not " + text(value));
+    private static void require(String option, double value, int max) {
+        if (!(value > 0 && value <= max)) {
+            throw new ConfigException(option + " must be above 0 and at most " + max + ", not " + text(value));
         }
     }
 
     private static void requireRate(String option, double value) {
-        if (!(value >= 0 && value <= MOST_CHANGES)) {
-            throw new ConfigException(option + " must be from 0 to " + MOST_CHANGES + ", not " + text(value));
+        if (!(value >= 0 && value <= MAX_CHANGES_PER_SECOND)) {
+            throw new ConfigException(option + " must be from 0 to " + MAX_CHANGES_PER_SECOND + ", not " + text(value));
         }
     }
 
--- a/src/main/java/barrowshore/capacity/LineFit.java
+++ b/src/main/java/barrowshore/capacity/LineFit.java
@@ -13,16 +13,16 @@
         int count = sizes.length;
         double meanSize = mean(sizes);
         double meanValue = mean(values);
-        double together = 0;
-        double spread = 0;
+        double covarianceSum = 0;
+        double varianceSum = 0;
         for (int i = 0; i < count; i++) {
-            together += (sizes[i] - meanSize) * (values[i] - meanValue);
-            spread += (sizes[i] - meanSize) * (sizes[i] - meanSize);
+            covarianceSum += (sizes[i] - meanSize) * (values[i] - meanValue);
+            varianceSum += (sizes[i] - meanSize) * (sizes[i] - meanSize);
         }
-        if (!(spread > 0)) {
+        if (!(varianceSum > 0)) {
             throw new IllegalArgumentException("a line needs two sizes that differ");
         }
-        double slope = together / spread;
+        double slope = covarianceSum / varianceSum;
         double intercept = meanValue - slope * meanSize;
         double squares = 0;
         for (int i = 0; i < count; i++) {
--- a/src/main/java/barrowshore/capacity/Spread.java
+++ b/src/main/java/barrowshore/capacity/MedianAndRange.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /** The median of some plays, with the least and the most of them. */
-record Spread(double median, double least, double most) {
-    static Spread of(double... values) {
+record MedianAndRange(double median, double min, double max) {
+    static MedianAndRange of(double... values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         int middle = sorted.length / 2;
         double median = sorted.length % 2 == 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
-        return new Spread(median, sorted[0], sorted[sorted.length - 1]);
+        return new MedianAndRange(median, sorted[0], sorted[sorted.length - 1]);
     }
 
     boolean measured() {
--- a/src/main/java/barrowshore/capacity/HeldState.java
+++ b/src/main/java/barrowshore/capacity/ObjectGraphSize.java
@@ -18,7 +18,7 @@
  * @param entries elements of all collections, maps and arrays of objects
  * @param bytes all objects, estimated
  */
-record HeldState(long entries, long bytes) {
+record ObjectGraphSize(long entries, long bytes) {
     private static final int OBJECT_HEADER = 12, ARRAY_HEADER = 16, REFERENCE = 4, ALIGNMENT = 8;
     /** A node of a hash map with its place in the table; what a collection takes for itself. */
     private static final int MAP_ENTRY = 32 + 8, CONTAINER = 48;
@@ -26,7 +26,7 @@
     private static final int BOXED = 16;
 
     /** What is reached from the root without going through the object that it reports to. */
-    static HeldState of(Object root, Object excluded) {
+    static ObjectGraphSize of(Object root, Object excluded) {
         return new Walk(excluded).from(root);
     }
 
@@ -41,12 +41,12 @@
             seen.add(excluded);
         }
 
-        HeldState from(Object root) {
+        ObjectGraphSize from(Object root) {
             reach(root);
             while (!waiting.isEmpty()) {
                 visit(waiting.poll());
             }
-            return new HeldState(entries, bytes);
+            return new ObjectGraphSize(entries, bytes);
         }
 
         private void reach(Object found) {
@@ -96,15 +96,15 @@
                 for (Field field : c.getDeclaredFields()) {
                     if (!Modifier.isStatic(field.getModifiers())) {
                         size += size(field.getType());
-                        follow(field, object);
+                        reachField(field, object);
                     }
                 }
             }
             bytes += aligned(size);
         }
 
-        private void follow(Field field, Object object) {
-            if (field.getType().isPrimitive() || !ours(field.getDeclaringClass())) {
+        private void reachField(Field field, Object object) {
+            if (field.getType().isPrimitive() || !isProjectType(field.getDeclaringClass())) {
                 return;
             }
             try {
@@ -116,7 +116,7 @@
         }
 
         /** The Java runtime's own objects are closed to reflection, and a lambda holds nothing to speak of. */
-        private static boolean ours(Class<?> type) {
+        private static boolean isProjectType(Class<?> type) {
             return type.getName().startsWith("barrowshore.") && !type.isHidden();
         }
 
--- a/src/main/java/barrowshore/capacity/PlayedScheduler.java
+++ b/src/main/java/barrowshore/capacity/SimulatedDispatcher.java
@@ -22,26 +22,26 @@
  * and hears. What the module orders is carried out after the call that ordered it, so that the call's time is the module's
  * alone.
  */
-final class PlayedScheduler implements DispatchApi.Actions {
-    private static final int LONGEST_DATAGRAM = 256;
+final class SimulatedDispatcher implements DispatchApi.Actions {
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     /** What lies round the schedulers. */
     interface Fleet {
-        PlayedWorker worker(String id);
+        SimulatedWorker worker(String id);
 
         /** Microseconds that a message takes one way between two zones. */
-        long way(int from, int to);
+        long oneWayMicros(int from, int to);
 
         /** Brings a datagram to all other schedulers, or loses it. */
-        void tellOthers(PlayedScheduler from, byte[] message);
+        void broadcast(SimulatedDispatcher from, byte[] message);
 
         /** A task has started, so many microseconds after its client asked. */
         void started(TaskKind kind, long waited);
 
         /** Another attempt of a task has started while the first was out. */
-        void startedAgain();
+        void hedgeStarted();
 
-        void turnedDown();
+        void refused();
 
         void failed();
     }
@@ -50,29 +50,29 @@
     final int zone;
     final CallMeter meter;
     final DatagramCount datagrams = new DatagramCount();
-    private final VirtualClock kernel;
+    private final VirtualClock clock;
     private final Fleet fleet;
     private final Settings settings;
     private Dispatcher module;
     private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ArrayDeque<Runnable> ordered = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
     private int requests;
     private long entriesApplied;
 
-    PlayedScheduler(int number, int zone, Settings settings, CallMeter meter, VirtualClock kernel, Fleet fleet) {
+    SimulatedDispatcher(int number, int zone, Settings settings, CallMeter meter, VirtualClock clock, Fleet fleet) {
         this.number = number;
         this.zone = zone;
         this.settings = settings;
         this.meter = meter;
-        this.kernel = kernel;
+        this.clock = clock;
         this.fleet = fleet;
         this.module = new Dispatcher(settings, this);
     }
 
     private void call(CallKind kind, Runnable call) {
-        meter.call(kind, call);
-        while (!ordered.isEmpty()) {
-            ordered.poll().run();
+        meter.measure(kind, call);
+        while (!pendingActions.isEmpty()) {
+            pendingActions.poll().run();
         }
     }
 
@@ -84,13 +84,13 @@
     }
 
     void start(List<Member> workers) {
-        call(CallKind.START, () -> module.start(kernel.now()));
+        call(CallKind.START, () -> module.start(clock.now()));
         list(ListKind.WHOLE, workers);
     }
 
     void list(ListKind kind, List<Member> entries) {
         entriesApplied += entries.size();
-        call(CallKind.LIST, () -> module.list(kernel.now(), kind, entries));
+        call(CallKind.LIST, () -> module.list(clock.now(), kind, entries));
     }
 
     /** Other quotas from now on. */
@@ -99,37 +99,42 @@
         next.copyIdentityFrom(settings);
         next.copyReloadableFrom(settings);
         next.tenantQuota = quotas;
-        call(CallKind.SETTINGS, () -> module.changeSettings(kernel.now(), next));
+        call(CallKind.SETTINGS, () -> module.changeSettings(clock.now(), next));
     }
 
-    void heard(int from, byte[] message) {
-        datagrams.in(message);
-        call(CallKind.DATAGRAM, () -> module.peerMessage(kernel.now(), from, message));
+    void receive(int from, byte[] message) {
+        datagrams.countReceived(message);
+        call(CallKind.DATAGRAM, () -> module.peerMessage(clock.now(), from, message));
     }
 
     void request(Arrivals.Arrival arrival) {
         OpenRequest request = new OpenRequest("r" + number + "-" + ++requests, arrival.kind(), arrival.work());
         open.put(request.id, request);
         Request asked = new Request(
-                request.id, arrival.kind().ordinal(), arrival.tenant(), 1, arrival.guess(), TaskKind.Terms.DEADLINE);
-        call(CallKind.REQUEST, () -> module.request(kernel.now(), asked));
+                request.id,
+                arrival.kind().ordinal(),
+                arrival.tenant(),
+                1,
+                arrival.estimatedWork(),
+                TaskKind.Terms.DEADLINE_MICROS);
+        call(CallKind.REQUEST, () -> module.request(clock.now(), asked));
     }
 
     long entriesApplied() {
         return entriesApplied;
     }
 
-    WorkCounters effort() {
+    WorkCounters workCounters() {
         return module.workCounters();
     }
 
     /** What the module holds, apart from what is round it. */
-    HeldState held() {
-        return HeldState.of(module, this);
+    ObjectGraphSize heldState() {
+        return ObjectGraphSize.of(module, this);
     }
 
     /** Lets go of the module, so that the memory that it held can be measured. */
-    void forget() {
+    void releaseModule() {
         module = null;
     }
 
@@ -138,7 +143,7 @@
         final String id;
         final TaskKind kind;
         final long work;
-        final long since = kernel.now();
+        final long since = clock.now();
         final List<Attempt> attempts = new ArrayList<>(1);
         int outstanding;
         boolean answered;
@@ -163,24 +168,24 @@
     }
 
     /** One try of a request at one worker. */
-    private final class Attempt implements PlayedWorker.Task {
+    private final class Attempt implements SimulatedWorker.Task {
         /** One way for a connection to come up and the request to follow it. */
-        private static final int WAYS_TO_SEND = 4;
+        private static final int ONE_WAY_DELAYS_TO_SEND = 4;
 
         final OpenRequest request;
         final int number;
-        final PlayedWorker worker;
-        final long sentAt = kernel.now();
+        final SimulatedWorker worker;
+        final long sentAt = clock.now();
         boolean ended;
 
-        Attempt(OpenRequest request, int number, PlayedWorker worker) {
+        Attempt(OpenRequest request, int number, SimulatedWorker worker) {
             this.request = request;
             this.number = number;
             this.worker = worker;
         }
 
         void send() {
-            kernel.runAfter(WAYS_TO_SEND * fleet.way(zone, worker.zone), () -> worker.offer(this));
+            clock.runAfter(ONE_WAY_DELAYS_TO_SEND * fleet.oneWayMicros(zone, worker.zone), () -> worker.offer(this));
         }
 
         private void end(Status status) {
@@ -192,21 +197,21 @@
             request.answered |= status == Status.OK;
             boolean answer = status == Status.OK || status == Status.FULL;
             DispatchApi.Load load = answer && settings.reportSource == ReportSource.ANSWERS ? worker.load() : null;
-            long took = kernel.now() - sentAt;
+            long took = clock.now() - sentAt;
             call(
                     CallKind.OUTCOME,
-                    () -> module.outcome(kernel.now(), request.id, number, request.answered, status, took, load));
+                    () -> module.outcome(clock.now(), request.id, number, request.answered, status, took, load));
             request.forgetIfEnded();
         }
 
-        private void back(Runnable run) {
-            kernel.runAfter(fleet.way(worker.zone, zone), run);
+        private void afterReturnDelay(Runnable run) {
+            clock.runAfter(fleet.oneWayMicros(worker.zone, zone), run);
         }
 
         private void note(Note note, double share) {
-            back(() -> {
+            afterReturnDelay(() -> {
                 if (!ended) {
-                    call(CallKind.NOTE, () -> module.note(kernel.now(), request.id, number, note, share));
+                    call(CallKind.NOTE, () -> module.note(clock.now(), request.id, number, note, share));
                 }
             });
         }
@@ -225,9 +230,9 @@
         public void started() {
             if (!request.everStarted) {
                 request.everStarted = true;
-                fleet.started(request.kind, kernel.now() - request.since);
+                fleet.started(request.kind, clock.now() - request.since);
             } else {
-                fleet.startedAgain();
+                fleet.hedgeStarted();
             }
             note(Note.STARTED, 0);
         }
@@ -239,12 +244,12 @@
 
         @Override
         public void done() {
-            back(() -> end(Status.OK));
+            afterReturnDelay(() -> end(Status.OK));
         }
 
         @Override
         public void rejected() {
-            back(() -> end(Status.FULL));
+            afterReturnDelay(() -> end(Status.FULL));
         }
     }
 
@@ -252,7 +257,7 @@
 
     @Override
     public void send(String id, String worker, long timeout) {
-        ordered.add(() -> {
+        pendingActions.add(() -> {
             OpenRequest request = open.get(id);
             Attempt attempt = new Attempt(request, request.attempts.size(), fleet.worker(worker));
             request.attempts.add(attempt);
@@ -263,15 +268,15 @@
 
     @Override
     public void refuse(String id, long retryAfter) {
-        ordered.add(() -> {
-            fleet.turnedDown();
+        pendingActions.add(() -> {
+            fleet.refused();
             open.get(id).answer();
         });
     }
 
     @Override
     public void fail(String id) {
-        ordered.add(() -> {
+        pendingActions.add(() -> {
             fleet.failed();
             open.get(id).answer();
         });
@@ -279,9 +284,9 @@
 
     @Override
     public void cancel(String id, int attempt) {
-        ordered.add(() -> {
+        pendingActions.add(() -> {
             Attempt called = open.get(id).attempts.get(attempt);
-            kernel.runAfter(0, () -> called.end(Status.CANCELLED));
+            clock.runAfter(0, () -> called.end(Status.CANCELLED));
         });
     }
 
@@ -292,19 +297,19 @@
 
     @Override
     public void sendToPeers(byte[] message) {
-        if (message.length > LONGEST_DATAGRAM) {
+        if (message.length > MAX_DATAGRAM_BYTES) {
             throw new IllegalStateException("a datagram of " + message.length + " bytes");
         }
-        ordered.add(() -> {
-            datagrams.out(message);
-            fleet.tellOthers(this, message);
+        pendingActions.add(() -> {
+            datagrams.countSent(message);
+            fleet.broadcast(this, message);
         });
     }
 
     @Override
     public void setTimer(long delay, String token) {
-        ordered.add(() -> kernel.runAfter(
-                Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timerFired(kernel.now(), token))));
+        pendingActions.add(() -> clock.runAfter(
+                Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timerFired(clock.now(), token))));
     }
 
     @Override
--- a/src/main/java/barrowshore/capacity/PlayedWorker.java
+++ b/src/main/java/barrowshore/capacity/SimulatedWorker.java
@@ -7,11 +7,11 @@
 import java.util.ArrayDeque;
 
 /** A worker of one speed: slots that run tasks, and a queue in order of arrival. It knows nothing of schedulers. */
-final class PlayedWorker {
+final class SimulatedWorker {
     /** Tasks that may wait for each slot before more are turned away. */
     private static final int QUEUE_PER_SLOT = 3;
     /** Microseconds between two notes on how far a task is. */
-    static final long PROGRESS_EVERY = 2_000_000;
+    static final long PROGRESS_INTERVAL_MICROS = 2_000_000;
 
     /** A task's attempt as its worker sees it. */
     interface Task {
@@ -35,16 +35,16 @@
     final int zone;
     private final int cell;
     private final int slots;
-    private final VirtualClock kernel;
+    private final VirtualClock clock;
     private final ArrayDeque<Task> waiting = new ArrayDeque<>(0);
     private int running;
 
-    PlayedWorker(String id, int zone, int cell, int slots, VirtualClock kernel) {
+    SimulatedWorker(String id, int zone, int cell, int slots, VirtualClock clock) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
         this.slots = slots;
-        this.kernel = kernel;
+        this.clock = clock;
     }
 
     Member entry(Health health) {
@@ -52,8 +52,8 @@
     }
 
     /** The machine that takes this one's place: another name, and listed as long up, so that no warm-up limits the work. */
-    PlayedWorker replacement(String name) {
-        return new PlayedWorker(name, zone, cell, slots, kernel);
+    SimulatedWorker replacement(String name) {
+        return new SimulatedWorker(name, zone, cell, slots, clock);
     }
 
     void offer(Task task) {
@@ -70,11 +70,11 @@
         running++;
         task.started();
         long work = Math.max(1, task.work());
-        for (long at = PROGRESS_EVERY; at < work; at += PROGRESS_EVERY) {
+        for (long at = PROGRESS_INTERVAL_MICROS; at < work; at += PROGRESS_INTERVAL_MICROS) {
             double share = at / (double) work;
-            kernel.runAfter(at, () -> task.progress(share));
+            clock.runAfter(at, () -> task.progress(share));
         }
-        kernel.runAfter(work, () -> end(task));
+        clock.runAfter(work, () -> end(task));
     }
 
     private void end(Task task) {
--- a/src/main/java/barrowshore/capacity/SimulationOptions.java
+++ b/src/main/java/barrowshore/capacity/SimulationOptions.java
@@ -24,7 +24,7 @@
         double doubled,
         boolean reports,
         boolean guesses) {
-    private static final int MOST_SECONDS = 3_600, MOST_PLAYS = 100;
+    private static final int MAX_SECONDS = 3_600, MAX_RUNS = 100;
 
     /** Counts alone, once, without a fault between the schedulers. */
     public static SimulationOptions countsOnly(int seconds, long seed) {
@@ -38,15 +38,15 @@
 
     /** Throws a {@link ConfigException} that names the first option that cannot be played. */
     public void validate() {
-        require("--seconds", seconds, MOST_SECONDS);
-        require("--plays", plays, MOST_PLAYS);
+        require("--seconds", seconds, MAX_SECONDS);
+        require("--plays", plays, MAX_RUNS);
         requireShare("--loss", loss);
         requireShare("--doubled", doubled);
     }
 
-    private static void require(String option, int value, int most) {
-        if (value < 1 || value > most) {
-            throw new ConfigException(option + " must be from 1 to " + most + ", not " + value);
+    private static void require(String option, int value, int max) {
+        if (value < 1 || value > max) {
+            throw new ConfigException(option + " must be from 1 to " + max + ", not " + value);
         }
     }
 
--- a/src/main/java/barrowshore/capacity/StartDelays.java
+++ b/src/main/java/barrowshore/capacity/StartDelays.java
@@ -6,7 +6,7 @@
 
 /** How long tasks waited for their start. */
 final class StartDelays {
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
     private final List<Long> delays = new ArrayList<>();
 
     void add(long micros) {
@@ -21,6 +21,6 @@
         List<Long> sorted = new ArrayList<>(delays);
         Collections.sort(sorted);
         int rank = (int) Math.ceil(percent / 100.0 * sorted.size());
-        return sorted.get(rank - 1) / MICROS;
+        return sorted.get(rank - 1) / MICROS_PER_SECOND;
     }
 }
--- a/src/main/java/barrowshore/capacity/Sweep.java
+++ b/src/main/java/barrowshore/capacity/Sweep.java
@@ -58,10 +58,10 @@
         if (names.equals("none")) {
             return List.of();
         }
-        return Arrays.stream(names.split(",")).map(Sweep::one).toList();
+        return Arrays.stream(names.split(",")).map(Sweep::parseName).toList();
     }
 
-    private static Sweep one(String name) {
+    private static Sweep parseName(String name) {
         return Arrays.stream(values())
                 .filter(sweep -> sweep.key().equals(name))
                 .findFirst()
--- a/src/main/java/barrowshore/capacity/TaskKind.java
+++ b/src/main/java/barrowshore/capacity/TaskKind.java
@@ -21,9 +21,9 @@
 
     TaskKind(double share, double seconds, double worth, RepeatSafety effect, int priority) {
         this.share = share;
-        this.work = seconds * Terms.MICROS;
+        this.work = seconds * Terms.MICROS_PER_SECOND;
         this.jobClass = new JobClass(
-                (long) work, Terms.STRETCH, Terms.DEADLINE, worth, 0, effect, DedupScope.ALL, 0, -1, priority);
+                (long) work, Terms.STRETCH, Terms.DEADLINE_MICROS, worth, 0, effect, DedupScope.ALL, 0, -1, priority);
     }
 
     /** The classes as a module's settings name them, by ordinal. */
@@ -37,9 +37,9 @@
 
     /** What the classes have in common, and their shares, by which tasks run as long as the target's on average. */
     static final class Terms {
-        static final double MICROS = 1e6;
+        static final double MICROS_PER_SECOND = 1e6;
         /** How long a client waits for its answer at most. */
-        static final long DEADLINE = (long) (120 * MICROS);
+        static final long DEADLINE_MICROS = (long) (120 * MICROS_PER_SECOND);
         /** A task's aim grows with its own work, once. */
         static final double STRETCH = 1;
 
--- a/src/test/java/barrowshore/capacity/CapacityCountsTest.java
+++ b/src/test/java/barrowshore/capacity/CapacityCountsTest.java
@@ -38,7 +38,7 @@
     /** How much more a scheduler may spend before 770 workers than before 96. */
     private static final double GROWTH_OF_COST = 2;
 
-    private static final Map<FleetSize, FleetCost> PLAYED = new ConcurrentHashMap<>();
+    private static final Map<FleetSize, FleetCost> RESULTS = new ConcurrentHashMap<>();
 
     static Stream<Arguments> sizes() {
         return WORKERS.stream().flatMap(w -> SCHEDULERS.stream().map(s -> Arguments.of(w, s)));
@@ -46,7 +46,8 @@
 
     /** Each size is played once for all tests. */
     private static FleetCost play(FleetSize size) {
-        return PLAYED.computeIfAbsent(size, s -> new FleetPlay(s, SimulationOptions.countsOnly(SECONDS, SEED)).play());
+        return RESULTS.computeIfAbsent(
+                size, s -> new FleetSimulation(s, SimulationOptions.countsOnly(SECONDS, SEED)).run());
     }
 
     private static FleetCost busy(int workers, int schedulers) {
--- a/src/test/java/barrowshore/capacity/FleetPlayTest.java
+++ b/src/test/java/barrowshore/capacity/FleetPlayTest.java
@@ -12,7 +12,7 @@
     private static final SimulationOptions OPTIONS = SimulationOptions.countsOnly(SECONDS, 7);
 
     private static FleetCost play(FleetSize size, SimulationOptions options) {
-        return new FleetPlay(size, options).play();
+        return new FleetSimulation(size, options).run();
     }
 
     @Test
@@ -54,9 +54,9 @@
     @Test
     void bytesHaveTheHeadsInThem() {
         DatagramCount count = new DatagramCount();
-        count.out(new byte[10]);
-        count.in(new byte[200]);
-        count.in(new byte[0]);
+        count.countSent(new byte[10]);
+        count.countReceived(new byte[200]);
+        count.countReceived(new byte[0]);
         assertThat(count.sentBytes()).isEqualTo(10 + 20 + 8);
         assertThat(count.receivedBytes()).isEqualTo(200 + 2 * (20 + 8));
         assertThat(count.received()).isEqualTo(2);
--- a/src/test/java/barrowshore/capacity/HeldStateTest.java
+++ b/src/test/java/barrowshore/capacity/HeldStateTest.java
@@ -34,15 +34,15 @@
         holder.map.put("a", new double[100]);
         holder.map.put("b", new double[0]);
         holder.array[1] = holder;
-        assertThat(HeldState.of(holder, null).entries()).isEqualTo(1 + 2 + 1);
+        assertThat(ObjectGraphSize.of(holder, null).entries()).isEqualTo(1 + 2 + 1);
     }
 
     @Test
     void bytesGrowByWhatIsAdded() {
         Holder holder = holder();
-        long before = HeldState.of(holder, null).bytes();
+        long before = ObjectGraphSize.of(holder, null).bytes();
         holder.map.put("a", new double[1_000]);
-        assertThat(HeldState.of(holder, null).bytes() - before).isBetween(8_000L, 8_200L);
+        assertThat(ObjectGraphSize.of(holder, null).bytes() - before).isBetween(8_000L, 8_200L);
     }
 
     @Test
@@ -51,7 +51,7 @@
         outside.list.add(holder());
         Holder holder = holder();
         holder.itself = outside;
-        assertThat(HeldState.of(holder, null).entries()).isEqualTo(1);
-        assertThat(HeldState.of(holder, outside).entries()).isZero();
+        assertThat(ObjectGraphSize.of(holder, null).entries()).isEqualTo(1);
+        assertThat(ObjectGraphSize.of(holder, outside).entries()).isZero();
     }
 }
