--- a/src/main/java/barrowshore/capacity/Arrivals.java
+++ b/src/main/java/barrowshore/capacity/Arrivals.java
@@ -7,16 +7,22 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What clients ask for, by chance of its own: whatever the schedulers do, one seed gives the same requests. */
+/**
+ * Generates the clients' requests from its own random source, so that one seed gives the same requests whatever the
+ * schedulers do.
+ */
 final class Arrivals {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** The spread of a task's work: its standard deviation over its mean. */
+    /** Standard deviation of a task's work, over its mean. */
     private static final double WORK_COEFFICIENT_OF_VARIATION = 0.5;
 
-    /** The error of the guess at a task's work that comes with it. */
+    /** Standard deviation of the logarithm of a work estimate over the actual work. */
     private static final double WORK_ESTIMATE_LOG_SIGMA = 0.1;
 
-    /** One request: which scheduler it comes to, for whom, how long it would run, and how long its client thinks. */
+    /**
+     * One request: the receiving scheduler, the task's kind and tenant, and its work, actual and estimated, in
+     * microseconds.
+     */
     record Arrival(int scheduler, TaskKind kind, int tenant, long work, long estimatedWork) {
         Arrival withoutEstimate() {
             return new Arrival(scheduler, kind, tenant, work, 0);
@@ -26,7 +32,10 @@
     private final FleetSize size;
     private final UniformRandomProvider random;
     private final SharedStateContinuousSampler exponential;
-    /** A task's work over its class's mean: of one that begins, and of one that is found running, a long one more often. */
+    /**
+     * Work over the class's mean, of new tasks; of tasks found running it is {@code runningTaskWork}, where long ones
+     * are more frequent.
+     */
     private final SharedStateContinuousSampler newTaskWork;
 
     private final SharedStateContinuousSampler runningTaskWork;
@@ -43,18 +52,21 @@
         runningTaskWork = LogNormalSampler.of(normal, variance / 2, Math.sqrt(variance));
     }
 
-    /** Microseconds until the next request at so many a second. */
+    /** Returns a random time in microseconds until the next request, at this mean rate. */
     long microsUntilNext(double perSecond) {
         return (long) Math.max(1, exponential.sample() * MICROS_PER_SECOND / perSecond);
     }
 
-    /** A request that begins. */
+    /** Returns a request whose task starts from the beginning. */
     Arrival next() {
         boolean urgent = random.nextDouble() < TaskKind.URGENT.share;
         return arrival(urgent ? TaskKind.URGENT : TaskKind.ORDINARY, newTaskWork.sample());
     }
 
-    /** A request that has run for a while, with what is left of it; the urgent ones are soon over and left out. */
+    /**
+     * Returns a request whose task has already run for a while, with its remaining work. Urgent tasks are omitted, as
+     * they end soon.
+     */
     Arrival nextRunning() {
         return arrival(TaskKind.ORDINARY, runningTaskWork.sample() * random.nextDouble());
     }
@@ -65,7 +77,10 @@
                 scheduler(), kind, random.nextInt(size.tenants()), (long) work, (long) (work * estimateError.sample()));
     }
 
-    /** Clients are as many in each zone, and each goes to a scheduler of its own; schedulers stand in zones by turns. */
+    /**
+     * Picks a scheduler: each zone has equally many clients, which use the schedulers of their own zone. Schedulers are
+     * assigned to zones round-robin.
+     */
     private int scheduler() {
         int zones = Math.min(CapacityTarget.TARGET.zones(), size.schedulers());
         int zone = random.nextInt(zones);
--- a/src/main/java/barrowshore/capacity/CallKind.java
+++ b/src/main/java/barrowshore/capacity/CallKind.java
@@ -1,6 +1,6 @@
 package barrowshore.capacity;
 
-/** The calls into a decision module, told apart into control and request work. */
+/** The kinds of calls into a decision module ({@code Dispatcher}), each either control or request work. */
 enum CallKind {
     START(true),
     REFRESH(true),
@@ -11,7 +11,7 @@
     NOTE(false),
     OUTCOME(false);
 
-    /** Whether it is spent on knowing the fleet, apart from the requests themselves. */
+    /** Whether the call keeps the state of the fleet up to date, rather than handles a request. */
     final boolean control;
 
     CallKind(boolean control) {
--- a/src/main/java/barrowshore/capacity/CallMeter.java
+++ b/src/main/java/barrowshore/capacity/CallMeter.java
@@ -6,9 +6,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Adds up the processor time of the calls into one module, by kind. The time is that of the calling thread, so that other
- * processes on a busy machine are not counted; what reading the clock itself costs is taken off. Garbage collection and
- * compilation run on other threads and are not in it.
+ * Adds up the processor time of the calls into one module, by kind. The time is that of the calling thread, so that
+ * other processes on a busy machine are not counted; the cost of reading the clock is subtracted. Garbage collection
+ * and compilation run on other threads and are not included.
  */
 final class CallMeter {
     private static final int CALIBRATION_READS = 20_000;
@@ -23,12 +23,12 @@
         this.readingCost = readingCost;
     }
 
-    /** A meter that counts calls and takes no time. */
+    /** Returns a meter that counts calls without measuring their time. */
     static CallMeter countsOnly() {
         return new CallMeter(() -> 0, 0);
     }
 
-    /** A meter of this thread's processor time. */
+    /** Returns a meter of the calling thread's processor time. */
     static CallMeter ofThisThread() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         LongSupplier nanos = threads::getCurrentThreadCpuTime;
@@ -51,7 +51,7 @@
         callsByKind[kind.ordinal()]++;
     }
 
-    /** Forgets what was before the measured time. */
+    /** Clears all counts, at the end of the warm-up. */
     void reset() {
         Arrays.fill(nanosByKind, 0);
         Arrays.fill(callsByKind, 0);
@@ -65,7 +65,7 @@
         return callsByKind[kind.ordinal()];
     }
 
-    /** Nanoseconds of all calls that are control, or of all that are not. */
+    /** Returns the nanoseconds of all control calls, or of all request calls. */
     long nanos(boolean control) {
         long sum = 0;
         for (CallKind kind : CallKind.values()) {
--- a/src/main/java/barrowshore/capacity/CapacityReport.java
+++ b/src/main/java/barrowshore/capacity/CapacityReport.java
@@ -8,7 +8,9 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Prints what was measured, for people as tables and for programs as CSV. It measures and judges nothing. */
+/**
+ * Prints measurements as tables and writes them as CSV. It neither measures nor decides whether a limit is exceeded.
+ */
 final class CapacityReport {
     private static final String CSV_HEAD = "sweep,workers,schedulers,starts,tenants,list_changes,config_changes,"
             + "metric,unit,median,min,max,fit_intercept,fit_slope,fit_residual,fit_at_base,limit\n";
@@ -20,26 +22,26 @@
         this.options = options;
     }
 
-    /** The figures at one size, each beside its limit. */
+    /** Prints the figures at one fleet size, each beside its limit. */
     void print(PrintStream out, FleetMeasurement at) {
         out.printf(
                 Locale.ROOT,
                 "%s%nseed %d, %d plays of %d s after the warm-up; for each scheduler unless said otherwise%n%n",
                 describe(at.size()),
                 options.seed(),
-                options.playsOfASize(),
+                options.runsPerSize(),
                 options.seconds());
         out.println(row("", "unit", "median", "min", "max", "limit"));
         for (Metric metric : Metric.values()) {
-            MedianAndRange spread = at.get(metric);
-            if (spread.measured()) {
+            MedianAndRange summary = at.get(metric);
+            if (summary.measured()) {
                 String limit = metric.limited() ? number(metric.limit) : "";
                 out.println(row(
                                 metric.label,
                                 metric.unit,
-                                number(spread.median()),
-                                metric.varies ? number(spread.min()) : "",
-                                metric.varies ? number(spread.max()) : "",
+                                number(summary.median()),
+                                metric.varies ? number(summary.min()) : "",
+                                metric.varies ? number(summary.max()) : "",
                                 limit)
                         + (at.exceedsLimit(metric) ? "  PASSED" : ""));
             }
@@ -47,7 +49,10 @@
         out.println();
     }
 
-    /** Cost against size, with the line through the medians and its value at the base beside the limit. */
+    /**
+     * Prints cost against fleet size, with the fitted line through the medians and its value at the base size beside
+     * the limit.
+     */
     void print(PrintStream out, SweepResult result, FleetMeasurement base) {
         List<FleetMeasurement> points = result.points();
         int sizes = points.size();
@@ -97,7 +102,7 @@
         return line.toString().stripTrailing();
     }
 
-    /** Three to four digits that count, without an exponent. */
+    /** Formats a number with three to four significant digits and no exponent. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return "-";
@@ -109,7 +114,7 @@
         return String.format(Locale.ROOT, size >= 10 ? "%.1f" : size >= 0.1 ? "%.3f" : "%.6f", value);
     }
 
-    /** Writes one line for each size and metric: first the base, then each sweep with its fit. */
+    /** Writes one CSV line for each size and metric: first the base size, then each sweep with its fit. */
     void write(Path csv, FleetMeasurement base, List<SweepResult> results) throws IOException {
         StringBuilder text = new StringBuilder(CSV_HEAD);
         for (Metric metric : Metric.values()) {
@@ -132,8 +137,8 @@
             Metric metric,
             Optional<LineFit> fit,
             double baseSize) {
-        MedianAndRange spread = point.get(metric);
-        if (!spread.measured()) {
+        MedianAndRange summary = point.get(metric);
+        if (!summary.measured()) {
             return;
         }
         FleetSize size = point.size();
@@ -149,9 +154,9 @@
                 size.settingsChangesPerSecond(),
                 metric.key(),
                 metric.unit,
-                spread.median(),
-                spread.min(),
-                spread.max(),
+                summary.median(),
+                summary.min(),
+                summary.max(),
                 fit.map(f -> "" + f.intercept()).orElse(""),
                 fit.map(f -> "" + f.slope()).orElse(""),
                 fit.map(f -> "" + f.residual()).orElse(""),
--- a/src/main/java/barrowshore/capacity/CapacityRun.java
+++ b/src/main/java/barrowshore/capacity/CapacityRun.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Plays the base size and the sweeps, each size once however many sweeps have it, and reports what was measured. */
+/**
+ * Simulates the base size and the sweeps and reports the measurements. A size that several sweeps share is measured
+ * once.
+ */
 public final class CapacityRun {
-    /** A play of a small fleet before the first that is timed, so that the module's code is compiled by then. */
+    /** A small fleet, simulated before the first timed run so that the JIT has compiled the module's code by then. */
     private static final FleetSize COMPILE_WARM_UP_SIZE = FleetSize.target().withWorkers(96);
 
     private final FleetSize base;
@@ -26,7 +29,8 @@
     }
 
     /**
-     * Plays and prints; csv null: nothing is written. Nothing is played if a size cannot be.
+     * Simulates and prints, and writes the CSV file unless {@code csv} is null. All sizes are validated before the
+     * first run.
      *
      * @return whether every figure at the base size is within its limit
      */
@@ -58,7 +62,7 @@
         return Arrays.stream(Metric.values()).noneMatch(atBase::exceedsLimit);
     }
 
-    /** What is measured for long is not to be lost for want of a folder. */
+    /** Fails before a long measurement whose result could not be written, for example because the folder is missing. */
     private static void requireWritable(Path csv) {
         try {
             Files.writeString(csv, "");
@@ -77,10 +81,10 @@
     }
 
     private FleetMeasurement simulate(FleetSize size) {
-        List<FleetCost> plays = new ArrayList<>();
-        for (int play = 0; play < options.playsOfASize(); play++) {
-            plays.add(new FleetSimulation(size, options).run());
+        List<FleetCost> runs = new ArrayList<>();
+        for (int run = 0; run < options.runsPerSize(); run++) {
+            runs.add(new FleetSimulation(size, options).run());
         }
-        return FleetMeasurement.of(size, plays);
+        return FleetMeasurement.of(size, runs);
     }
 }
--- a/src/main/java/barrowshore/capacity/CapacityTarget.java
+++ b/src/main/java/barrowshore/capacity/CapacityTarget.java
@@ -1,8 +1,8 @@
 package barrowshore.capacity;
 
 /**
- * The size that the system has to carry in about two years, and what a scheduler may spend on control there. The one place
- * that has these figures; whatever judges a measurement takes them from {@link #TARGET}.
+ * The size that the system has to support in about two years, and what a scheduler may spend on control at that size.
+ * All limits are defined here; code that checks a measurement takes them from {@link #TARGET}.
  */
 public record CapacityTarget(
         int workers,
@@ -24,7 +24,10 @@
         int machineFailuresPerDay,
         int machineReplacementsPerDay) {
     private static final int WORKERS = 770;
-    /** Not a figure of the target: two schedulers on each of the machines set aside, until the page derives another. */
+    /**
+     * Not stated in the target: two schedulers on each machine reserved for schedulers, until the capacity page derives
+     * another number.
+     */
     private static final int SCHEDULERS = 10;
 
     private static final int MACHINES_FOR_SCHEDULERS = 5;
@@ -67,17 +70,20 @@
             MACHINE_FAILURES_PER_DAY,
             MACHINE_REPLACEMENTS_PER_DAY);
 
-    /** How long a task runs on average: what keeps so many running at so many starts a second. */
+    /** Returns the mean run time of a task, from the running tasks and the start rate (Little's law). */
     public double taskSeconds() {
         return runningTasks / startsPerSecond;
     }
 
-    /** List events a second: each failure and each replacement takes a machine away and brings one back. */
+    /**
+     * Returns the changes of the server list a second: each failure and each replacement removes a machine and adds
+     * one.
+     */
     public double listChangesPerSecond() {
         return 2 * (machineFailuresPerDay + machineReplacementsPerDay) / SECONDS_PER_DAY;
     }
 
-    /** Changes of configuration a second. */
+    /** Returns the configuration changes a second. */
     public double settingsChangesPerSecond() {
         return settingsChangesPerDay / SECONDS_PER_DAY;
     }
--- a/src/main/java/barrowshore/capacity/DatagramCount.java
+++ b/src/main/java/barrowshore/capacity/DatagramCount.java
@@ -1,8 +1,10 @@
 package barrowshore.capacity;
 
-/** Datagrams between schedulers as one of them sends and receives them, with the bytes that they take on the network. */
+/**
+ * Counts the datagrams that one scheduler exchanges with its peers, and their bytes including the IP and UDP headers.
+ */
 final class DatagramCount {
-    /** Bytes of the IP and the UDP header before each payload. */
+    /** Bytes of the IP and UDP headers of a datagram. */
     static final int HEADER_BYTES = 28;
 
     private long sent;
@@ -27,7 +29,7 @@
         receivedBytes = 0;
     }
 
-    /** Datagrams told, each counted once however many schedulers it goes to. */
+    /** Returns the datagrams sent; one that is sent to several peers counts once. */
     long sent() {
         return sent;
     }
--- a/src/main/java/barrowshore/capacity/FleetCost.java
+++ b/src/main/java/barrowshore/capacity/FleetCost.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
-/** What one play cost each scheduler, on average over all of them; metrics that were not measured are left out. */
+/** The metrics of one simulation run, averaged over the schedulers. Metrics that were not measured are absent. */
 public final class FleetCost {
     private static final double NANOS_PER_SECOND = 1e9, NANOS_PER_MICRO = 1e3, PERCENT = 100;
 
-    /** The serial collector leaves some of what is dead in place, but for each fourth time. */
+    /** Consecutive collections: the serial collector leaves some garbage in place except at every fourth one. */
     private static final int COLLECTIONS = 4;
 
     private final Map<Metric, Double> values = new EnumMap<>(Metric.class);
@@ -34,12 +34,12 @@
         return cost;
     }
 
-    /** The value, or NaN if it was not measured. */
+    /** Returns the metric's value, or NaN if it was not measured. */
     public double get(Metric metric) {
         return values.getOrDefault(metric, Double.NaN);
     }
 
-    /** Sums over the schedulers. */
+    /** Averages a figure over the schedulers. */
     private record PerScheduler(List<SimulatedDispatcher> schedulers) {
         double mean(ToLongFunction<SimulatedDispatcher> figure) {
             return schedulers.stream().mapToLong(figure).average().orElseThrow();
@@ -118,7 +118,7 @@
         return PERCENT * nanos / (seconds * NANOS_PER_SECOND);
     }
 
-    /** The heap that comes free when the schedulers let go of their modules, for each of them. */
+    /** Returns the heap bytes freed per scheduler when all schedulers release their modules. */
     private static double heapPerModule(List<SimulatedDispatcher> schedulers) {
         long before = heapAfterCollection();
         schedulers.forEach(SimulatedDispatcher::releaseModule);
--- a/src/main/java/barrowshore/capacity/FleetMeasurement.java
+++ b/src/main/java/barrowshore/capacity/FleetMeasurement.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A fleet of one size, played as often as the options say. */
+/** The metrics of one fleet size, summarized over the runs that the options ask for. */
 final class FleetMeasurement {
     private final FleetSize size;
     private final Map<Metric, MedianAndRange> summaries = new EnumMap<>(Metric.class);
@@ -13,15 +13,15 @@
         this.size = size;
     }
 
-    static FleetMeasurement of(FleetSize size, List<FleetCost> plays) {
+    static FleetMeasurement of(FleetSize size, List<FleetCost> runs) {
         FleetMeasurement measurement = new FleetMeasurement(size);
         for (Metric metric : Metric.values()) {
-            MedianAndRange spread = MedianAndRange.of(
-                    plays.stream().mapToDouble(p -> p.get(metric)).toArray());
-            if (!metric.varies && spread.measured() && spread.min() != spread.max()) {
-                throw new IllegalStateException(metric.label + " differs between plays of one seed: " + spread);
+            MedianAndRange summary = MedianAndRange.of(
+                    runs.stream().mapToDouble(p -> p.get(metric)).toArray());
+            if (!metric.varies && summary.measured() && summary.min() != summary.max()) {
+                throw new IllegalStateException(metric.label + " differs between runs with the same seed: " + summary);
             }
-            measurement.summaries.put(metric, spread);
+            measurement.summaries.put(metric, summary);
         }
         return measurement;
     }
@@ -34,7 +34,7 @@
         return summaries.get(metric);
     }
 
-    /** Whether the metric was measured and is above its limit. */
+    /** Returns whether the metric was measured and its median is above its limit. */
     boolean exceedsLimit(Metric metric) {
         return metric.limited() && get(metric).median() > metric.limit;
     }
--- a/src/main/java/barrowshore/capacity/FleetSimulation.java
+++ b/src/main/java/barrowshore/capacity/FleetSimulation.java
@@ -16,23 +16,23 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One play of a fleet in virtual time: real decision modules, each told what the others tell, before workers that run tasks
- * in slots. It fills the fleet first, lets it settle, and then measures. All chance comes from the seed, so that the counts
- * of a play are the same each time.
+ * Simulates a fleet in virtual time: real decision modules that exchange datagrams, and simulated workers that run
+ * tasks in slots. It first fills the fleet with running tasks, lets it settle, and then measures. All randomness comes
+ * from the seed, so that the counts of a run are reproducible.
  */
 final class FleetSimulation implements SimulatedDispatcher.Fleet {
     private static final long MICROS_PER_MILLI = 1_000, MICROS_PER_SECOND = 1_000_000;
-    /** When a play begins, on its own clock: late enough that 0 means long ago. */
+    /** Virtual time at the start, in microseconds; large enough that timestamp 0 lies far in the past. */
     private static final long START_MICROS = 1_000 * MICROS_PER_SECOND;
-    /** Seconds in which the tasks come that a fleet has under way, and all seconds before it is measured. */
+    /** Seconds over which the initially running tasks are started, and total seconds before the measurement. */
     private static final int FILL_SECONDS = 1, WARM_UP_SECONDS = 10;
 
     private static final int WORKERS_PER_CELL = 4;
-    /** How long a machine drains before another takes its place. */
+    /** Microseconds that a machine drains before it is replaced. */
     private static final long DRAIN_MICROS = 2 * MICROS_PER_SECOND;
-    /** What tenants may send together, over what they do send. */
+    /** Sum of the tenants' quotas over the total request rate. */
     private static final double QUOTA_MARGIN = 1.2;
-    /** How far a change of configuration moves a quota. */
+    /** Share by which a configuration change raises a quota; every second change raises it by twice as much. */
     private static final double QUOTA_CHANGE = 0.1;
 
     private final FleetSize size;
@@ -76,7 +76,7 @@
         listed.add(worker);
     }
 
-    /** What the operators' site has, at this size. */
+    /** Returns the settings of the operators' site, adapted to this fleet size. */
     private Settings settings(int number) {
         Settings set = new Settings();
         set.seed = random.nextLong();
@@ -109,10 +109,11 @@
         return quotas;
     }
 
-    /** Plays it and returns what each scheduler spent, on average over all of them. */
+    /** Runs the simulation and returns the metrics, averaged over the schedulers. */
     FleetCost run() {
-        List<Member> whole = listed.stream().map(w -> w.entry(Health.READY)).toList();
-        schedulers.forEach(s -> s.start(whole));
+        List<Member> allWorkers =
+                listed.stream().map(w -> w.entry(Health.READY)).toList();
+        schedulers.forEach(s -> s.start(allWorkers));
         clock.runAfter(1, this::startRunningTask);
         clock.runAfter(1, this::startNewTask);
         schedule(size.listChangesPerSecond(), this::replaceWorker);
@@ -128,10 +129,10 @@
             running +=
                     workers.values().stream().mapToInt(SimulatedWorker::running).sum();
         }
-        VisitCounts visits = VisitCounts.NONE;
+        VisitCounts visitCounts = VisitCounts.NONE;
         for (int s = 0; s < schedulers.size(); s++) {
-            visits =
-                    visits.plus(VisitCounts.of(schedulers.get(s).workCounters()).minus(before.get(s)));
+            visitCounts = visitCounts.plus(
+                    VisitCounts.of(schedulers.get(s).workCounters()).minus(before.get(s)));
         }
         Workload workload = new Workload(
                 requests,
@@ -141,10 +142,10 @@
                 failed,
                 running / (double) options.seconds(),
                 urgentStarts.percentile(99));
-        return FleetCost.of(size, options, schedulers, visits, workload);
+        return FleetCost.of(size, options, schedulers, visitCounts, workload);
     }
 
-    /** Begins the tasks that a fleet of this size has under way. */
+    /** Starts the tasks that a fleet of this size has running, spread over the fill time. */
     private void startRunningTask() {
         double rate = size.runningTasks() / FILL_SECONDS;
         if (clock.now() < START_MICROS + FILL_SECONDS * MICROS_PER_SECOND) {
@@ -175,7 +176,7 @@
         clock.runAfter(interval, () -> repeat(interval, change));
     }
 
-    /** By turns a machine drains, and the one that drained longest ago makes room for another of another name. */
+    /** Drains a random machine and, after the drain time, replaces it with one of another name. */
     private void replaceWorker() {
         SimulatedWorker old = listed.remove(changes.nextInt(listed.size()));
         sendListChange(List.of(old.entry(Health.DRAINING)));
@@ -186,7 +187,7 @@
         });
     }
 
-    /** The list hears of it late, each scheduler a little apart. */
+    /** Delivers a server list change to each scheduler, after a common delay and an individual one. */
     private void sendListChange(List<Member> entries) {
         long late = randomMicros(260, 1_800);
         for (SimulatedDispatcher s : schedulers) {
@@ -207,7 +208,7 @@
         return (long) ((fromMillis + (toMillis - fromMillis) * random.nextDouble()) * MICROS_PER_MILLI);
     }
 
-    // What lies round the schedulers.
+    // Implementation of SimulatedDispatcher.Fleet.
 
     @Override
     public SimulatedWorker worker(String id) {
@@ -231,7 +232,7 @@
         }
     }
 
-    /** Each datagram takes its own time, so that they overtake one another. */
+    /** Delivers a datagram after its own random delay, so that datagrams can be reordered. */
     private void deliver(int from, SimulatedDispatcher to, byte[] message) {
         clock.runAfter(randomMicros(1, 10), () -> to.receive(from, message));
     }
@@ -259,7 +260,7 @@
         failed += measuring ? 1 : 0;
     }
 
-    /** What clients asked for in the measured time, and what came of it; the urgent tasks' start in seconds. */
+    /** Requests in the measured time and their results, with the 99th percentile of the urgent tasks' start delay. */
     record Workload(
             long requests,
             long started,
@@ -269,7 +270,7 @@
             double running,
             double urgentStartSeconds) {}
 
-    /** The module's own counts at one moment, or the difference of two. */
+    /** A snapshot of the module's work counters, or the difference of two. */
     record VisitCounts(
             long refreshes, long refreshVisits, long datagrams, long datagramVisits, long picks, long pickVisits) {
         static final VisitCounts NONE = new VisitCounts(0, 0, 0, 0, 0, 0);
--- a/src/main/java/barrowshore/capacity/FleetSize.java
+++ b/src/main/java/barrowshore/capacity/FleetSize.java
@@ -2,7 +2,7 @@
 
 import barrowshore.config.ConfigException;
 
-/** How large a played fleet is, and how much happens to it. Rates are for the whole fleet. */
+/** The size of a simulated fleet and its rates of starts and changes. Rates are for the whole fleet. */
 public record FleetSize(
         int workers,
         int schedulers,
@@ -16,17 +16,17 @@
     private static final int MAX_TENANTS = 100_000;
     private static final int MAX_CHANGES_PER_SECOND = 1_000;
 
-    /** Slots of the fleet for each task that runs on average: about 78 % are taken. */
+    /** Slots of the fleet per running task on average: about 78 % of the slots are in use. */
     private static final double SLOTS_PER_RUNNING_TASK = 1.28;
 
-    /** Bytes that a scheduler holds for a worker, for what one peer tells of one, and for a request under way. */
+    /** Bytes that a scheduler holds for a worker, for one peer's report on a worker, and for an open request. */
     private static final long BYTES_PER_WORKER = 1_000, BYTES_PER_PEER_REPORT = 72, BYTES_PER_TASK = 3_000;
 
     private static final long BYTES_PER_SCHEDULER = 1 << 20, BYTES_PER_TENANT = 16;
-    /** The share of the heap that a play may be expected to fill. */
+    /** Share of the heap that a run's estimate may fill. */
     private static final double USABLE_HEAP_SHARE = 0.6;
 
-    /** The size of the target. */
+    /** Returns the target's size. */
     public static FleetSize target() {
         CapacityTarget target = CapacityTarget.TARGET;
         return new FleetSize(
@@ -38,49 +38,52 @@
                 target.settingsChangesPerSecond());
     }
 
-    /** The same with another number of workers. */
+    /** Returns a copy with another number of workers. */
     public FleetSize withWorkers(int count) {
         return new FleetSize(
                 count, schedulers, startsPerSecond, tenants, listChangesPerSecond, settingsChangesPerSecond);
     }
 
-    /** The same with another number of schedulers. */
+    /** Returns a copy with another number of schedulers. */
     public FleetSize withSchedulers(int count) {
         return new FleetSize(workers, count, startsPerSecond, tenants, listChangesPerSecond, settingsChangesPerSecond);
     }
 
-    /** The same with another number of task starts a second. */
+    /** Returns a copy with another number of task starts a second. */
     public FleetSize withStartsPerSecond(double rate) {
         return new FleetSize(workers, schedulers, rate, tenants, listChangesPerSecond, settingsChangesPerSecond);
     }
 
-    /** The same with another number of tenants. */
+    /** Returns a copy with another number of tenants. */
     public FleetSize withTenants(int count) {
         return new FleetSize(
                 workers, schedulers, startsPerSecond, count, listChangesPerSecond, settingsChangesPerSecond);
     }
 
-    /** The same with another number of list events a second. */
+    /** Returns a copy with another number of list events a second. */
     public FleetSize withListChangesPerSecond(double rate) {
         return new FleetSize(workers, schedulers, startsPerSecond, tenants, rate, settingsChangesPerSecond);
     }
 
-    /** The same with another number of changes of configuration a second. */
+    /** Returns a copy with another number of changes of configuration a second. */
     public FleetSize withSettingsChangesPerSecond(double rate) {
         return new FleetSize(workers, schedulers, startsPerSecond, tenants, listChangesPerSecond, rate);
     }
 
-    /** Tasks that run at once on average. */
+    /** Returns the mean number of running tasks. */
     public double runningTasks() {
         return startsPerSecond * CapacityTarget.TARGET.taskSeconds();
     }
 
-    /** Slots of a worker: a fleet of any size is about as full as the target's. */
+    /** Returns the slots of a worker, chosen so that a fleet of any size is about as full as the target's. */
     public int slotsPerWorker() {
         return Math.max(1, (int) Math.round(runningTasks() * SLOTS_PER_RUNNING_TASK / workers));
     }
 
-    /** Throws a {@link ConfigException} that names the first size that cannot be played in so much memory. */
+    /**
+     * Throws a {@link ConfigException} that names the first size out of range, or that says that the fleet does not fit
+     * into the heap.
+     */
     public void validate(long heapBytes) {
         require("--workers", workers, MAX_WORKERS);
         require("--schedulers", schedulers, MAX_SCHEDULERS);
@@ -96,7 +99,7 @@
         }
     }
 
-    /** Bytes that a play of this size is expected to hold at most. */
+    /** Returns an upper estimate of the bytes that a run of this size holds. */
     long estimatedBytes() {
         long perWorker = BYTES_PER_WORKER + BYTES_PER_PEER_REPORT * schedulers;
         long perScheduler = BYTES_PER_SCHEDULER + perWorker * workers + BYTES_PER_TENANT * tenants;
--- a/src/main/java/barrowshore/capacity/LineFit.java
+++ b/src/main/java/barrowshore/capacity/LineFit.java
@@ -1,14 +1,14 @@
 package barrowshore.capacity;
 
 /**
- * The line of least squares through some points.
+ * A straight line fitted by least squares.
  *
  * @param intercept the line's value at 0
- * @param slope by how much it grows for each unit of size
- * @param residual the root of the mean squared distance of the points from the line
+ * @param slope growth of the value per unit of size
+ * @param residual root mean square of the vertical distances of the points from the line
  */
 public record LineFit(double intercept, double slope, double residual) {
-    /** Fits values measured at sizes; there must be two sizes that differ. */
+    /** Fits values measured at sizes, of which at least two must differ. */
     public static LineFit of(double[] sizes, double[] values) {
         int count = sizes.length;
         double meanSize = mean(sizes);
@@ -20,7 +20,7 @@
             varianceSum += (sizes[i] - meanSize) * (sizes[i] - meanSize);
         }
         if (!(varianceSum > 0)) {
-            throw new IllegalArgumentException("a line needs two sizes that differ");
+            throw new IllegalArgumentException("fitting a line needs at least two different sizes");
         }
         double slope = covarianceSum / varianceSum;
         double intercept = meanValue - slope * meanSize;
@@ -40,7 +40,7 @@
         return sum / of.length;
     }
 
-    /** The line's value at a size. */
+    /** Returns the line's value at a size. */
     public double at(double size) {
         return intercept + slope * size;
     }
--- a/src/main/java/barrowshore/capacity/MedianAndRange.java
+++ b/src/main/java/barrowshore/capacity/MedianAndRange.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The median of some plays, with the least and the most of them. */
+/** The median, minimum and maximum of a metric over several runs. */
 record MedianAndRange(double median, double min, double max) {
     static MedianAndRange of(double... values) {
         double[] sorted = values.clone();
--- a/src/main/java/barrowshore/capacity/Metric.java
+++ b/src/main/java/barrowshore/capacity/Metric.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** What is measured, for each scheduler unless it says otherwise, with its limit at the target where there is one. */
+/**
+ * The measured metrics, per scheduler unless the label says otherwise, with the limit at the target size where there is
+ * one.
+ */
 public enum Metric {
     STARTED("tasks started, all schedulers", "1/s"),
     STARTED_AGAIN("second copies started", "1/s"),
@@ -41,9 +44,9 @@
 
     final String label;
     final String unit;
-    /** The most that is allowed at the target; NaN where nothing is said. */
+    /** The largest value allowed at the target size; NaN where there is no limit. */
     final double limit;
-    /** Whether it is a time or a heap's size, which varies from play to play. */
+    /** Whether the value is a time or a heap size, which varies between runs with the same seed. */
     final boolean varies;
 
     Metric(String label, String unit) {
@@ -61,7 +64,7 @@
         this.varies = varies;
     }
 
-    /** Its name in files. */
+    /** Returns the metric's name in CSV files. */
     String key() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/barrowshore/capacity/ObjectGraphSize.java
+++ b/src/main/java/barrowshore/capacity/ObjectGraphSize.java
@@ -11,26 +11,26 @@
 import java.util.Set;
 
 /**
- * What an object holds, found by following its references: the entries of all collections, maps and arrays of objects, and
- * an estimate of the bytes, which unlike a heap's difference is the same on every machine. Bytes are those of a 64-bit JVM
- * with compressed references.
+ * The size of an object graph, found by following references: the entries of all collections, maps and object arrays,
+ * and an estimate of the bytes, which unlike a difference in heap use is the same on every machine. Bytes are those of
+ * a 64-bit JVM with compressed references.
  *
  * @param entries elements of all collections, maps and arrays of objects
  * @param bytes all objects, estimated
  */
 record ObjectGraphSize(long entries, long bytes) {
     private static final int OBJECT_HEADER = 12, ARRAY_HEADER = 16, REFERENCE = 4, ALIGNMENT = 8;
-    /** A node of a hash map with its place in the table; what a collection takes for itself. */
+    /** Bytes of a hash map's node with its table slot, and of an empty collection. */
     private static final int MAP_ENTRY = 32 + 8, CONTAINER = 48;
 
     private static final int BOXED = 16;
 
-    /** What is reached from the root without going through the object that it reports to. */
+    /** Measures the graph reachable from the root, without the excluded object. */
     static ObjectGraphSize of(Object root, Object excluded) {
         return new Walk(excluded).from(root);
     }
 
-    /** One walk over an object graph. */
+    /** One traversal of an object graph. */
     private static final class Walk {
         private final Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
         private final ArrayDeque<Object> waiting = new ArrayDeque<>();
@@ -111,11 +111,14 @@
                 field.setAccessible(true);
                 reach(field.get(object));
             } catch (IllegalAccessException e) {
-                throw new IllegalStateException(field + " cannot be read", e);
+                throw new IllegalStateException(field + " is not accessible by reflection", e);
             }
         }
 
-        /** The Java runtime's own objects are closed to reflection, and a lambda holds nothing to speak of. */
+        /**
+         * Returns whether fields of this type are followed: the JDK's objects are closed to reflection, and a lambda
+         * holds next to nothing.
+         */
         private static boolean isProjectType(Class<?> type) {
             return type.getName().startsWith("barrowshore.") && !type.isHidden();
         }
--- a/src/main/java/barrowshore/capacity/SimulatedDispatcher.java
+++ b/src/main/java/barrowshore/capacity/SimulatedDispatcher.java
@@ -18,27 +18,27 @@
 import java.util.Map;
 
 /**
- * One scheduler of a played fleet: a real decision module, the books of its open requests, and the count of what it tells
- * and hears. What the module orders is carried out after the call that ordered it, so that the call's time is the module's
- * alone.
+ * One scheduler of a simulated fleet: a real decision module, its open requests, and counts of the datagrams it sends
+ * and receives. The module's actions are carried out after the call that issued them, so that the measured time of the
+ * call is the module's alone.
  */
 final class SimulatedDispatcher implements DispatchApi.Actions {
     private static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** What lies round the schedulers. */
+    /** The workers, network and statistics that the schedulers share. */
     interface Fleet {
         SimulatedWorker worker(String id);
 
-        /** Microseconds that a message takes one way between two zones. */
+        /** Returns the one-way delay between two zones in microseconds. */
         long oneWayMicros(int from, int to);
 
-        /** Brings a datagram to all other schedulers, or loses it. */
+        /** Sends a datagram to all other schedulers; each copy can be lost or duplicated. */
         void broadcast(SimulatedDispatcher from, byte[] message);
 
-        /** A task has started, so many microseconds after its client asked. */
+        /** Records that a task has started, this many microseconds after its request. */
         void started(TaskKind kind, long waited);
 
-        /** Another attempt of a task has started while the first was out. */
+        /** Records that a further attempt of an already started task has started. */
         void hedgeStarted();
 
         void refused();
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Begins to count; what came before was the warm-up. */
+    /** Resets the counts at the end of the warm-up. */
     void reset() {
         meter.reset();
         datagrams.reset();
@@ -93,7 +93,7 @@
         call(CallKind.LIST, () -> module.list(clock.now(), kind, entries));
     }
 
-    /** Other quotas from now on. */
+    /** Applies new tenant quotas. */
     void quotas(double[] quotas) {
         Settings next = new Settings();
         next.copyIdentityFrom(settings);
@@ -128,17 +128,17 @@
         return module.workCounters();
     }
 
-    /** What the module holds, apart from what is round it. */
+    /** Measures the objects that the module holds, without this simulation object. */
     ObjectGraphSize heldState() {
         return ObjectGraphSize.of(module, this);
     }
 
-    /** Lets go of the module, so that the memory that it held can be measured. */
+    /** Releases the module, so that the memory it held can be measured. */
     void releaseModule() {
         module = null;
     }
 
-    /** A client's request until its answer and the ends of its attempts. */
+    /** A client's request, kept until it is answered and all its attempts have ended. */
     private final class OpenRequest {
         final String id;
         final TaskKind kind;
@@ -167,9 +167,9 @@
         }
     }
 
-    /** One try of a request at one worker. */
+    /** One attempt of a request on one worker. */
     private final class Attempt implements SimulatedWorker.Task {
-        /** One way for a connection to come up and the request to follow it. */
+        /** One-way delays until the worker has the request, including connection setup. */
         private static final int ONE_WAY_DELAYS_TO_SEND = 4;
 
         final OpenRequest request;
@@ -253,7 +253,7 @@
         }
     }
 
-    // What the module orders.
+    // Actions of the module.
 
     @Override
     public void send(String id, String worker, long timeout) {
@@ -292,13 +292,14 @@
 
     @Override
     public void probe(String worker) {
-        throw new IllegalStateException("probes are not allowed here");
+        throw new IllegalStateException("the simulation has no probes, but the module sent one");
     }
 
     @Override
     public void sendToPeers(byte[] message) {
         if (message.length > MAX_DATAGRAM_BYTES) {
-            throw new IllegalStateException("a datagram of " + message.length + " bytes");
+            throw new IllegalStateException(
+                    "datagram of " + message.length + " bytes exceeds the limit of " + MAX_DATAGRAM_BYTES);
         }
         pendingActions.add(() -> {
             datagrams.countSent(message);
--- a/src/main/java/barrowshore/capacity/SimulatedWorker.java
+++ b/src/main/java/barrowshore/capacity/SimulatedWorker.java
@@ -6,19 +6,22 @@
 import barrowshore.module.DispatchApi.Member;
 import java.util.ArrayDeque;
 
-/** A worker of one speed: slots that run tasks, and a queue in order of arrival. It knows nothing of schedulers. */
+/**
+ * A simulated worker: slots that run tasks, all at the same speed, and a FIFO queue. It does not depend on the
+ * schedulers.
+ */
 final class SimulatedWorker {
-    /** Tasks that may wait for each slot before more are turned away. */
+    /** Maximum number of queued tasks per slot; further tasks are rejected. */
     private static final int QUEUE_PER_SLOT = 3;
-    /** Microseconds between two notes on how far a task is. */
+    /** Microseconds between two progress notes of a task. */
     static final long PROGRESS_INTERVAL_MICROS = 2_000_000;
 
-    /** A task's attempt as its worker sees it. */
+    /** An attempt of a task, as the worker uses it. */
     interface Task {
-        /** Microseconds that it runs. */
+        /** Returns the run time in microseconds. */
         long work();
 
-        /** Whether nobody waits for it any more. */
+        /** Returns whether the attempt has ended for its scheduler, so that it is not started. */
         boolean withdrawn();
 
         void started();
@@ -27,7 +30,7 @@
 
         void done();
 
-        /** There was no room for it. */
+        /** Called when the queue is full. */
         void rejected();
     }
 
@@ -51,7 +54,10 @@
         return new Member(id, health, slots, cell, 0, zone, 0);
     }
 
-    /** The machine that takes this one's place: another name, and listed as long up, so that no warm-up limits the work. */
+    /**
+     * Returns the machine that replaces this one: it has another name, and is listed as up for long, so that no slow
+     * start limits it.
+     */
     SimulatedWorker replacement(String name) {
         return new SimulatedWorker(name, zone, cell, slots, clock);
     }
--- a/src/main/java/barrowshore/capacity/SimulationOptions.java
+++ b/src/main/java/barrowshore/capacity/SimulationOptions.java
@@ -3,17 +3,17 @@
 import barrowshore.config.ConfigException;
 
 /**
- * How a fleet is played, whatever its size.
+ * The options of a simulation that do not depend on the fleet's size.
  *
  * @param seconds virtual seconds that are measured, after the warm-up
- * @param seed of all chance in a play; the same seed gives the same counts
- * @param plays how often each size is played, for the spread of the times
- * @param timed whether processor time and memory are measured; counts alone are the same on every machine
- * @param loss the share of datagrams that is lost
- * @param doubled the share of datagrams that comes twice
+ * @param seed seed of all random sources; the same seed gives the same counts
+ * @param plays timed runs of each size, for the median and range of the times
+ * @param timed whether processor time and heap are measured; counts alone are the same on every machine
+ * @param loss share of datagrams that are lost
+ * @param doubled share of datagrams that are delivered twice
  * @param reports whether workers report their load in answers
- * @param guesses whether tasks come with a guess at their work; without, a fleet takes longer than the warm-up to settle,
- *     since the first tasks that end are short and their workers look fast
+ * @param guesses whether requests have an estimate of their work; without it the fleet takes longer than the warm-up to
+ *     settle, since the first tasks to end are short and make their workers look fast
  */
 public record SimulationOptions(
         int seconds,
@@ -26,17 +26,17 @@
         boolean guesses) {
     private static final int MAX_SECONDS = 3_600, MAX_RUNS = 100;
 
-    /** Counts alone, once, without a fault between the schedulers. */
+    /** Returns the options of one run that measures counts only and loses and duplicates no datagram. */
     public static SimulationOptions countsOnly(int seconds, long seed) {
         return new SimulationOptions(seconds, seed, 1, false, 0, 0, false, true);
     }
 
-    /** Counts are the same in each play, so that one is enough for them. */
-    int playsOfASize() {
+    /** Returns the runs of each size: one where only counts are measured, as they are the same in each run. */
+    int runsPerSize() {
         return timed ? plays : 1;
     }
 
-    /** Throws a {@link ConfigException} that names the first option that cannot be played. */
+    /** Throws a {@link ConfigException} that names the first option out of range. */
     public void validate() {
         require("--seconds", seconds, MAX_SECONDS);
         require("--plays", plays, MAX_RUNS);
--- a/src/main/java/barrowshore/capacity/SizeOption.java
+++ b/src/main/java/barrowshore/capacity/SizeOption.java
@@ -7,9 +7,9 @@
 import org.kohsuke.args4j.spi.OneArgumentOptionHandler;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads a number from the command line and, where it is none, says so on one line. */
+/** Command-line option handler for a number; reports invalid text in one line. */
 public final class SizeOption extends OneArgumentOptionHandler<Double> {
-    /** As args4j makes option handlers. */
+    /** Called by args4j. */
     public SizeOption(CmdLineParser parser, OptionDef option, Setter<? super Double> setter) {
         super(parser, option, setter);
     }
@@ -23,7 +23,7 @@
         }
     }
 
-    /** The number as an int, or a {@link ConfigException} where it is a fraction or far too large. */
+    /** Converts the number to an int; throws a {@link ConfigException} if it is not whole or does not fit. */
     public static int toWholeNumber(String option, double value) {
         if (value != Math.rint(value) || Math.abs(value) > Integer.MAX_VALUE) {
             throw new ConfigException(option + " must be a whole number of a size that can be played, not " + value);
--- a/src/main/java/barrowshore/capacity/StartDelays.java
+++ b/src/main/java/barrowshore/capacity/StartDelays.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** How long tasks waited for their start. */
+/** Collects the delays from request to start of tasks. */
 final class StartDelays {
     private static final double MICROS_PER_SECOND = 1e6;
     private final List<Long> delays = new ArrayList<>();
@@ -13,7 +13,7 @@
         delays.add(micros);
     }
 
-    /** The delay in seconds that so many of a hundred do not go beyond; NaN where nothing has started. */
+    /** Returns a percentile (nearest rank) of the delays in seconds; NaN if no task has started. */
     double percentile(int percent) {
         if (delays.isEmpty()) {
             return Double.NaN;
--- a/src/main/java/barrowshore/capacity/Sweep.java
+++ b/src/main/java/barrowshore/capacity/Sweep.java
@@ -10,7 +10,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
 
-/** What is varied, alone, and over which sizes. */
+/** A series of fleet sizes that varies one dimension and leaves the others at the base size. */
 public enum Sweep {
     WORKERS(FleetSize::workers, (size, to) -> size.withWorkers(to.intValue()), 96, 192, 385, 770, 1_540),
     SCHEDULERS(FleetSize::schedulers, (size, to) -> size.withSchedulers(to.intValue()), 5, 10, 20),
@@ -35,22 +35,22 @@
         this.sizes = sizes;
     }
 
-    /** Its name on the command line. */
+    /** Returns the sweep's name on the command line. */
     public String key() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The size that it varies. */
+    /** Returns a fleet's value in the varied dimension. */
     double sizeOf(FleetSize fleet) {
         return read.applyAsDouble(fleet);
     }
 
-    /** The fleets that it plays, which differ from the base in one size. */
+    /** Returns the fleets to simulate, which differ from the base in the varied dimension only. */
     List<FleetSize> fleets(FleetSize base) {
         return Arrays.stream(sizes).mapToObj(size -> change.apply(base, size)).toList();
     }
 
-    /** The sweeps of some names with commas between them, {@code all}, or {@code none}. */
+    /** Parses a comma-separated list of sweep names, {@code all}, or {@code none}. */
     public static List<Sweep> parseNames(String names) {
         if (names.equals("all")) {
             return List.of(values());
--- a/src/main/java/barrowshore/capacity/SweepResult.java
+++ b/src/main/java/barrowshore/capacity/SweepResult.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What was measured over the sizes of a sweep. */
+/** The measurements at the sizes of a sweep. */
 record SweepResult(Sweep sweep, List<FleetMeasurement> points) {
-    /** The line through the medians; none where the metric was measured at fewer than two sizes. */
+    /** Returns the fitted line through the medians, or empty if the metric was measured at fewer than two sizes. */
     Optional<LineFit> fit(Metric metric) {
         List<FleetMeasurement> with =
                 points.stream().filter(p -> p.get(metric).measured()).toList();
--- a/src/main/java/barrowshore/capacity/TaskKind.java
+++ b/src/main/java/barrowshore/capacity/TaskKind.java
@@ -5,14 +5,14 @@
 import barrowshore.module.DispatchApi.RepeatSafety;
 
 /**
- * The classes of tasks that are played: ordinary ones, and short urgent ones that are worth more and can wait for less. A
- * class's aim is its mean work, which is what a module takes for the work until it has seen some.
+ * The simulated job classes: ordinary tasks, and short urgent tasks that are worth more and tolerate less delay. The
+ * target time of a class is its mean work, which a module assumes as the work until it has observed some.
  */
 enum TaskKind {
     ORDINARY(Terms.ORDINARY_SHARE, Terms.ORDINARY_SECONDS, 1, RepeatSafety.SAFE, 0),
     URGENT(1 - Terms.ORDINARY_SHARE, Terms.URGENT_SECONDS, 10, RepeatSafety.UNSAFE, 1);
 
-    /** The share of all tasks. */
+    /** Share of all tasks. */
     final double share;
     /** Mean work in microseconds. */
     final double work;
@@ -26,7 +26,7 @@
                 (long) work, Terms.STRETCH, Terms.DEADLINE_MICROS, worth, 0, effect, DedupScope.ALL, 0, -1, priority);
     }
 
-    /** The classes as a module's settings name them, by ordinal. */
+    /** Returns the job classes, indexed by ordinal as in a module's settings. */
     static JobClass[] classes() {
         JobClass[] classes = new JobClass[values().length];
         for (TaskKind kind : values()) {
@@ -35,12 +35,15 @@
         return classes;
     }
 
-    /** What the classes have in common, and their shares, by which tasks run as long as the target's on average. */
+    /**
+     * Values common to the classes, and their shares and mean work, chosen so that the mean run time over both equals
+     * the target's.
+     */
     static final class Terms {
         static final double MICROS_PER_SECOND = 1e6;
-        /** How long a client waits for its answer at most. */
+        /** Microseconds that a client waits for its answer. */
         static final long DEADLINE_MICROS = (long) (120 * MICROS_PER_SECOND);
-        /** A task's aim grows with its own work, once. */
+        /** Factor by which a task's target time grows with its own work. */
         static final double STRETCH = 1;
 
         static final double ORDINARY_SHARE = 0.9;
--- a/src/test/java/barrowshore/capacity/CapacityCountsTest.java
+++ b/src/test/java/barrowshore/capacity/CapacityCountsTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What control costs a scheduler, as counts that are the same on every machine: entries visited, datagrams, bytes and
- * entries held, at sizes up to the target. The bounds hold for upkeep that goes over what has changed; upkeep that goes
- * over the whole list breaks them.
+ * Checks a scheduler's control cost at sizes up to the target, in counts that are the same on every machine: entries
+ * visited, datagrams, bytes and entries held. Updates that process only changes stay within the bounds; updates that
+ * iterate over the whole server list exceed them.
  */
 class CapacityCountsTest {
     private static final List<Integer> WORKERS = List.of(96, 385, 770);
@@ -22,20 +22,20 @@
     private static final FleetSize TARGET = FleetSize.target();
     private static final int SECONDS = 3;
     private static final long SEED = 1;
-    /** A task a minute and a half: nearly always none is under way. */
+    /** One task per 100 s: nearly always none is running. */
     private static final double IDLE_STARTS_PER_SECOND = 0.01;
 
-    /** Entries that a refresh may visit though nothing has changed: sums by kind and zone, and what is due. */
+    /** Entries that a refresh may visit without any change: sums by kind and zone, and entries that are due. */
     private static final double VISITS_OF_IDLE_REFRESH = 8;
-    /** Entries that a refresh may visit for each start or end of a task anywhere since the one before. */
+    /** Entries that a refresh may visit per start or end of a task in the fleet since the previous refresh. */
     private static final double VISITS_PER_CHANGE = 4;
-    /** Entries that a datagram may cost besides one for each of its bytes. */
+    /** Entries that a datagram may visit in addition to one per payload byte. */
     private static final double VISITS_OF_EMPTY_DATAGRAM = 4;
-    /** Datagrams that a scheduler may send a second: changes are gathered, whatever the load. */
+    /** Datagrams that a scheduler may send a second: changes are batched, whatever the load. */
     private static final double DATAGRAMS_PER_SECOND = 10;
     /** Entries held for a worker, for a task of any scheduler, for one of its own, and for a scheduler or tenant. */
     private static final double HELD_PER_WORKER = 6, HELD_PER_TASK = 1, HELD_PER_OWN_TASK = 4, HELD_PER_MEMBER = 32;
-    /** How much more a scheduler may spend before 770 workers than before 96. */
+    /** Maximum ratio of the cost with 770 workers to that with 96. */
     private static final double GROWTH_OF_COST = 2;
 
     private static final Map<FleetSize, FleetCost> RESULTS = new ConcurrentHashMap<>();
@@ -44,18 +44,18 @@
         return WORKERS.stream().flatMap(w -> SCHEDULERS.stream().map(s -> Arguments.of(w, s)));
     }
 
-    /** Each size is played once for all tests. */
-    private static FleetCost play(FleetSize size) {
+    /** Simulates each size once for all tests. */
+    private static FleetCost simulate(FleetSize size) {
         return RESULTS.computeIfAbsent(
                 size, s -> new FleetSimulation(s, SimulationOptions.countsOnly(SECONDS, SEED)).run());
     }
 
     private static FleetCost busy(int workers, int schedulers) {
-        return play(TARGET.withWorkers(workers).withSchedulers(schedulers));
+        return simulate(TARGET.withWorkers(workers).withSchedulers(schedulers));
     }
 
     private static FleetCost idle(int workers, int schedulers) {
-        return play(TARGET.withWorkers(workers)
+        return simulate(TARGET.withWorkers(workers)
                 .withSchedulers(schedulers)
                 .withStartsPerSecond(IDLE_STARTS_PER_SECOND)
                 .withListChangesPerSecond(0)
@@ -64,14 +64,14 @@
 
     @ParameterizedTest(name = "{0} workers, {1} schedulers")
     @MethodSource("sizes")
-    void aRefreshOfAnIdleFleetVisitsAlmostNothing(int workers, int schedulers) {
+    void refreshOfAnIdleFleetVisitsFewEntries(int workers, int schedulers) {
         assertThat(idle(workers, schedulers).get(Metric.REFRESHES)).isPositive();
         assertThat(idle(workers, schedulers).get(Metric.REFRESH_VISITS)).isLessThanOrEqualTo(VISITS_OF_IDLE_REFRESH);
     }
 
     @ParameterizedTest(name = "{0} workers, {1} schedulers")
     @MethodSource("sizes")
-    void aRefreshVisitsWhatHasChangedHoweverLongTheListIs(int workers, int schedulers) {
+    void refreshVisitsAreBoundedByChangesNotByTheListsLength(int workers, int schedulers) {
         FleetCost cost = busy(workers, schedulers);
         double changes = 2 * TARGET.startsPerSecond() / cost.get(Metric.REFRESHES);
         assertThat(cost.get(Metric.REFRESH_VISITS))
@@ -81,7 +81,7 @@
 
     @ParameterizedTest(name = "{0} workers, {1} schedulers")
     @MethodSource("sizes")
-    void aDatagramCostsNoMoreThanIsInIt(int workers, int schedulers) {
+    void datagramVisitsAreBoundedByItsPayload(int workers, int schedulers) {
         FleetCost cost = busy(workers, schedulers);
         double payload = cost.get(Metric.BYTES_IN) / cost.get(Metric.DATAGRAMS_IN) - DatagramCount.HEADER_BYTES;
         assertThat(cost.get(Metric.DATAGRAM_VISITS)).isLessThanOrEqualTo(VISITS_OF_EMPTY_DATAGRAM + payload);
@@ -89,7 +89,7 @@
 
     @ParameterizedTest(name = "{0} workers, {1} schedulers")
     @MethodSource("sizes")
-    void aPickVisitsNoWorkerTwice(int workers, int schedulers) {
+    void pickVisitsAtMostAsManyEntriesAsWorkers(int workers, int schedulers) {
         assertThat(busy(workers, schedulers).get(Metric.PICK_VISITS))
                 .isPositive()
                 .isLessThanOrEqualTo(workers);
@@ -97,7 +97,7 @@
 
     @ParameterizedTest(name = "{0} workers, {1} schedulers")
     @MethodSource("sizes")
-    void changesAreGatheredIntoFewDatagrams(int workers, int schedulers) {
+    void changesAreBatchedIntoFewDatagrams(int workers, int schedulers) {
         assertThat(busy(workers, schedulers).get(Metric.DATAGRAMS_OUT))
                 .isPositive()
                 .isLessThanOrEqualTo(DATAGRAMS_PER_SECOND);
@@ -105,7 +105,7 @@
 
     @ParameterizedTest(name = "{0} workers, {1} schedulers")
     @MethodSource("sizes")
-    void bytesInAndOutAreWithinTheLimitHoweverManySchedulersThereAre(int workers, int schedulers) {
+    void controlBytesAreWithinTheLimitForAnyNumberOfSchedulers(int workers, int schedulers) {
         assertThat(busy(workers, schedulers).get(Metric.CONTROL_BYTES))
                 .isPositive()
                 .isLessThan(CapacityTarget.TARGET.controlBytesPerSecond());
--- a/src/test/java/barrowshore/capacity/FleetPlayTest.java
+++ b/src/test/java/barrowshore/capacity/FleetSimulationTest.java
@@ -5,31 +5,31 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A small fleet, played for its counts. */
-class FleetPlayTest {
+/** Checks the counts of a small simulated fleet. */
+class FleetSimulationTest {
     private static final FleetSize SMALL = new FleetSize(24, 3, 10, 4, 0, 0);
     private static final int SECONDS = 4;
     private static final SimulationOptions OPTIONS = SimulationOptions.countsOnly(SECONDS, 7);
 
-    private static FleetCost play(FleetSize size, SimulationOptions options) {
+    private static FleetCost simulate(FleetSize size, SimulationOptions options) {
         return new FleetSimulation(size, options).run();
     }
 
     @Test
     void theSameSeedGivesTheSameCounts() {
-        FleetCost first = play(SMALL, OPTIONS);
-        FleetCost again = play(SMALL, OPTIONS);
-        FleetCost other = play(SMALL, SimulationOptions.countsOnly(SECONDS, 8));
+        FleetCost first = simulate(SMALL, OPTIONS);
+        FleetCost again = simulate(SMALL, OPTIONS);
+        FleetCost other = simulate(SMALL, SimulationOptions.countsOnly(SECONDS, 8));
         for (Metric metric : Metric.values()) {
-            // Boxed, so that what was not measured equals itself.
+            // Boxed, so that the NaN of an unmeasured metric equals itself.
             assertThat((Double) again.get(metric)).as(metric.label).isEqualTo((Double) first.get(metric));
         }
         assertThat(other.get(Metric.BYTES_IN)).isNotEqualTo(first.get(Metric.BYTES_IN));
     }
 
     @Test
-    void asManyTasksStartAndRunAsTheSizeSays() {
-        FleetCost cost = play(SMALL.withWorkers(60).withStartsPerSecond(40), SimulationOptions.countsOnly(2, 1));
+    void startRateAndRunningTasksMatchTheFleetSize() {
+        FleetCost cost = simulate(SMALL.withWorkers(60).withStartsPerSecond(40), SimulationOptions.countsOnly(2, 1));
         double running = SMALL.withStartsPerSecond(40).runningTasks();
         assertThat(cost.get(Metric.STARTED)).isCloseTo(40, within(8.0));
         assertThat(cost.get(Metric.RUNNING)).isBetween(0.9 * running, 1.25 * running);
@@ -37,22 +37,22 @@
     }
 
     @Test
-    void eachTellingIsHeardByAllOthersUnlessItIsLostOrDoubled() {
+    void allPeersReceiveEachDatagramUnlessLostOrDuplicated() {
         SimulationOptions faulty = new SimulationOptions(SECONDS, 7, 1, false, 0.5, 0, false, true);
         SimulationOptions doubling = new SimulationOptions(SECONDS, 7, 1, false, 0, 0.5, false, true);
-        assertHeard(play(SMALL, OPTIONS), 1, 0.03);
-        assertHeard(play(SMALL, faulty), 0.5, 0.1);
-        assertHeard(play(SMALL, doubling), 1.5, 0.1);
+        assertReceivedShare(simulate(SMALL, OPTIONS), 1, 0.03);
+        assertReceivedShare(simulate(SMALL, faulty), 0.5, 0.1);
+        assertReceivedShare(simulate(SMALL, doubling), 1.5, 0.1);
     }
 
-    private static void assertHeard(FleetCost cost, double share, double tolerance) {
+    private static void assertReceivedShare(FleetCost cost, double share, double tolerance) {
         assertThat(cost.get(Metric.DATAGRAMS_OUT)).isPositive();
         assertThat(cost.get(Metric.DATAGRAMS_IN) / cost.get(Metric.DATAGRAMS_OUT_PER_PEER))
                 .isCloseTo(share, within(tolerance));
     }
 
     @Test
-    void bytesHaveTheHeadsInThem() {
+    void byteCountsIncludeHeaders() {
         DatagramCount count = new DatagramCount();
         count.countSent(new byte[10]);
         count.countReceived(new byte[200]);
@@ -63,8 +63,8 @@
     }
 
     @Test
-    void theModulesBytesAreCountedWithTheHeads() {
-        FleetCost cost = play(SMALL, OPTIONS);
+    void datagramBytesOfASimulationIncludeHeaders() {
+        FleetCost cost = simulate(SMALL, OPTIONS);
         int peers = SMALL.schedulers() - 1;
         assertThat(cost.get(Metric.BYTES_OUT))
                 .isGreaterThan(DatagramCount.HEADER_BYTES * cost.get(Metric.DATAGRAMS_OUT));
@@ -74,19 +74,19 @@
 
     @Test
     void changesOfListAndConfigurationReachEveryScheduler() {
-        FleetCost still = play(SMALL, OPTIONS);
-        FleetCost changing = play(SMALL.withListChangesPerSecond(1).withSettingsChangesPerSecond(5), OPTIONS);
+        FleetCost still = simulate(SMALL, OPTIONS);
+        FleetCost changing = simulate(SMALL.withListChangesPerSecond(1).withSettingsChangesPerSecond(5), OPTIONS);
         assertThat(still.get(Metric.LIST_ENTRIES)).isZero();
         assertThat(still.get(Metric.SETTINGS_CHANGES)).isZero();
-        // One entry as a machine drains; two as it goes and another comes.
+        // One entry when a machine drains; two when it is removed and its replacement added.
         assertThat(changing.get(Metric.LIST_ENTRIES)).isCloseTo(3, within(0.75));
         assertThat(changing.get(Metric.SETTINGS_CHANGES)).isCloseTo(5, within(0.5));
     }
 
     @Test
-    void onlyATimedPlayHasTimes() {
-        FleetCost counted = play(SMALL, OPTIONS);
-        FleetCost timed = play(SMALL, new SimulationOptions(SECONDS, 7, 1, true, 0, 0, false, true));
+    void onlyATimedRunMeasuresTimes() {
+        FleetCost counted = simulate(SMALL, OPTIONS);
+        FleetCost timed = simulate(SMALL, new SimulationOptions(SECONDS, 7, 1, true, 0, 0, false, true));
         assertThat(counted.get(Metric.CONTROL_TIME)).isNaN();
         assertThat(counted.get(Metric.HEAP_HELD)).isNaN();
         assertThat(timed.get(Metric.CONTROL_TIME)).isPositive();
--- a/src/test/java/barrowshore/capacity/FleetSizeTest.java
+++ b/src/test/java/barrowshore/capacity/FleetSizeTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which sizes can be played, and what follows from them. */
+/** Checks the validation of fleet sizes and the figures derived from them. */
 class FleetSizeTest {
     private static final long HEAP = 1L << 30;
     private static final FleetSize TARGET = FleetSize.target();
 
     @Test
-    void theTargetFillsFiveSlotsAWorkerToFourFifths() {
+    void targetFleetUsesAboutFourFifthsOfFiveSlotsPerWorker() {
         assertThat(TARGET.slotsPerWorker()).isEqualTo(5);
         assertThat(TARGET.runningTasks() / (5 * TARGET.workers())).isBetween(0.75, 0.8);
         assertThat(TARGET.withWorkers(96).slotsPerWorker()).isEqualTo(40);
     }
 
     @Test
-    void whatTheSweepsPlayFitsIntoAGigabyte() {
+    void allSweepSizesFitIntoAGibibyteHeap() {
         for (Sweep sweep : Sweep.values()) {
             for (FleetSize fleet : sweep.fleets(TARGET)) {
                 assertThatNoException().isThrownBy(() -> fleet.validate(HEAP));
@@ -32,39 +32,39 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, -1, 100_001, Integer.MAX_VALUE, Integer.MIN_VALUE})
-    void aCountThatCannotBePlayedIsNamed(int count) {
-        assertRefused(TARGET.withWorkers(count), "--workers");
-        assertRefused(TARGET.withSchedulers(count), "--schedulers");
-        assertRefused(TARGET.withTenants(count), "--tenants");
+    void countOutOfRangeIsNamed(int count) {
+        assertRejected(TARGET.withWorkers(count), "--workers");
+        assertRejected(TARGET.withSchedulers(count), "--schedulers");
+        assertRejected(TARGET.withTenants(count), "--tenants");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {0, -260, Double.NaN, Double.POSITIVE_INFINITY, 1e9})
-    void aRateThatCannotBePlayedIsNamed(double rate) {
-        assertRefused(TARGET.withStartsPerSecond(rate), "--starts");
+    void startRateOutOfRangeIsNamed(double rate) {
+        assertRejected(TARGET.withStartsPerSecond(rate), "--starts");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-0.1, Double.NaN, Double.POSITIVE_INFINITY, 1e6})
-    void aRateOfChangesThatCannotBePlayedIsNamed(double rate) {
-        assertRefused(TARGET.withListChangesPerSecond(rate), "--list-changes");
-        assertRefused(TARGET.withSettingsChangesPerSecond(rate), "--config-changes");
+    void changeRateOutOfRangeIsNamed(double rate) {
+        assertRejected(TARGET.withListChangesPerSecond(rate), "--list-changes");
+        assertRejected(TARGET.withSettingsChangesPerSecond(rate), "--config-changes");
     }
 
     @Test
-    void noChangesAtAllCanBePlayed() {
+    void zeroChangeRatesAreValid() {
         FleetSize still = TARGET.withListChangesPerSecond(0).withSettingsChangesPerSecond(0);
         assertThatNoException().isThrownBy(() -> still.validate(HEAP));
     }
 
     @Test
-    void aFleetBeyondTheMemoryIsRefusedByItsEstimate() {
+    void fleetThatExceedsTheHeapIsRejected() {
         FleetSize large = TARGET.withWorkers(100_000).withSchedulers(200);
         assertThat(large.estimatedBytes()).isGreaterThan(HEAP);
-        assertRefused(large, "MiB");
+        assertRejected(large, "MiB");
     }
 
-    private static void assertRefused(FleetSize size, String named) {
+    private static void assertRejected(FleetSize size, String named) {
         assertThatThrownBy(() -> size.validate(HEAP))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(named)
--- a/src/test/java/barrowshore/capacity/LineFitTest.java
+++ b/src/test/java/barrowshore/capacity/LineFitTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The line of least squares, against figures worked out by hand. */
+/** Checks the least-squares fit against values computed by hand. */
 class LineFitTest {
     private static final double EXACT = 1e-9;
 
     @Test
-    void aLineIsFoundAgainWithoutResidual() {
+    void pointsOnALineAreFittedWithoutResidual() {
         LineFit fit =
                 LineFit.of(new double[] {96, 385, 770}, new double[] {3 + 0.5 * 96, 3 + 0.5 * 385, 3 + 0.5 * 770});
         assertThat(fit.intercept()).isCloseTo(3, within(EXACT));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void oneSizeGivesNoLine() {
+    void equalSizesAreRejected() {
         assertThatIllegalArgumentException().isThrownBy(() -> LineFit.of(new double[] {5, 5}, new double[] {1, 2}));
     }
 }
--- a/src/test/java/barrowshore/capacity/HeldStateTest.java
+++ b/src/test/java/barrowshore/capacity/ObjectGraphSizeTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an object is found to hold. */
-class HeldStateTest {
-    /** Holds something of each kind, and itself. */
+/** Checks the entries and bytes counted in an object graph. */
+class ObjectGraphSizeTest {
+    /** Has a field of each kind that is followed, and a reference to itself. */
     private static final class Holder {
         final List<Holder> list = new ArrayList<>();
         final Map<String, double[]> map = new HashMap<>();
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void whatIsExcludedIsNotFollowed() {
+    void excludedObjectIsNotFollowed() {
         Holder outside = holder();
         outside.list.add(holder());
         Holder holder = holder();
