--- a/src/main/java/barrowshore/capacity/Arrivals.java
+++ b/src/main/java/barrowshore/capacity/Arrivals.java
@@ -20,7 +20,7 @@
     private static final double WORK_ESTIMATE_LOG_SIGMA = 0.1;
 
     /**
-     * One request: the receiving scheduler, the task's kind and tenant, and its work, actual and estimated, in
+     * One request: the receiving scheduler, the task's kind and tenant, and its work, actual and estimated (0: none), in
      * microseconds.
      */
     record Arrival(int scheduler, TaskKind kind, int tenant, long work, long estimatedWork) {
@@ -32,13 +32,13 @@
     private final FleetSize size;
     private final UniformRandomProvider random;
     private final SharedStateContinuousSampler exponential;
-    /**
-     * Work over the class's mean, of new tasks; of tasks found running it is {@code runningTaskWork}, where long ones
-     * are more frequent.
-     */
+    /** Total work of a new task, over its class's mean. */
     private final SharedStateContinuousSampler newTaskWork;
 
+    /** Total work of a task found running, over its class's mean; long tasks are found more often than they start. */
     private final SharedStateContinuousSampler runningTaskWork;
+
+    /** Estimated over actual work of a task. */
     private final SharedStateContinuousSampler estimateError;
 
     Arrivals(FleetSize size, long seed) {
--- a/src/main/java/barrowshore/capacity/SimulatedDispatcher.java
+++ b/src/main/java/barrowshore/capacity/SimulatedDispatcher.java
@@ -55,7 +55,9 @@
     private final Settings settings;
     private Dispatcher module;
     private final Map<String, OpenRequest> open = new HashMap<>();
+    /** Actions that the module issued during the current call. */
     private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
+
     private int requests;
     private long entriesApplied;
 
@@ -298,8 +300,7 @@
     @Override
     public void sendToPeers(byte[] message) {
         if (message.length > MAX_DATAGRAM_BYTES) {
-            throw new IllegalStateException(
-                    "datagram of " + message.length + " bytes exceeds the limit of " + MAX_DATAGRAM_BYTES);
+            throw new IllegalStateException("datagram of " + message.length + " bytes exceeds the size limit");
         }
         pendingActions.add(() -> {
             datagrams.countSent(message);
