--- a/src/main/java/barrowshore/capacity/LineFit.java
+++ b/src/main/java/barrowshore/capacity/LineFit.java
@@ -1,28 +1,28 @@
 package barrowshore.capacity;
 
 /**
- * The line of least squares through some points.
+ * A straight line fitted by least squares.
  *
  * @param intercept the line's value at 0
- * @param slope by how much it grows for each unit of size
- * @param residual the root of the mean squared distance of the points from the line
+ * @param slope growth of the value per unit of size
+ * @param residual root mean square of the vertical distances of the points from the line
  */
 public record LineFit(double intercept, double slope, double residual) {
-    /** Fits values measured at sizes; there must be two sizes that differ. */
+    /** Fits values measured at sizes, of which at least two must differ. */
     public static LineFit of(double[] sizes, double[] values) {
         int count = sizes.length;
         double meanSize = mean(sizes);
         double meanValue = mean(values);
-        double together = 0;
-        double spread = 0;
+        double covarianceSum = 0;
+        double varianceSum = 0;
         for (int i = 0; i < count; i++) {
-            together += (sizes[i] - meanSize) * (values[i] - meanValue);
-            spread += (sizes[i] - meanSize) * (sizes[i] - meanSize);
+            covarianceSum += (sizes[i] - meanSize) * (values[i] - meanValue);
+            varianceSum += (sizes[i] - meanSize) * (sizes[i] - meanSize);
         }
-        if (!(spread > 0)) {
-            throw new IllegalArgumentException("a line needs two sizes that differ");
+        if (!(varianceSum > 0)) {
+            throw new IllegalArgumentException("fitting a line needs at least two different sizes");
         }
-        double slope = together / spread;
+        double slope = covarianceSum / varianceSum;
         double intercept = meanValue - slope * meanSize;
         double squares = 0;
         for (int i = 0; i < count; i++) {
@@ -40,7 +40,7 @@
         return sum / of.length;
     }
 
-    /** The line's value at a size. */
+    /** Returns the line's value at a size. */
     public double at(double size) {
         return intercept + slope * size;
     }
--- a/src/main/java/barrowshore/capacity/PlayedScheduler.java
+++ b/src/main/java/barrowshore/capacity/SimulatedDispatcher.java
@@ -18,30 +18,30 @@
 import java.util.Map;
 
 /**
- * One scheduler of a played fleet: a real decision module, the books of its open requests, and the count of what it tells
- * and hears. What the module orders is carried out after the call that ordered it, so that the call's time is the module's
- * alone.
+ * One scheduler of a simulated fleet: a real decision module, its open requests, and counts of the datagrams it sends
+ * and receives. The module's actions are carried out after the call that issued them, so that the measured time of the
+ * call is the module's alone.
  */
-final class PlayedScheduler implements DispatchApi.Actions {
-    private static final int LONGEST_DATAGRAM = 256;
+final class SimulatedDispatcher implements DispatchApi.Actions {
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** What lies round the schedulers. */
+    /** The workers, network and statistics that the schedulers share. */
     interface Fleet {
-        PlayedWorker worker(String id);
+        SimulatedWorker worker(String id);
 
-        /** Microseconds that a message takes one way between two zones. */
-        long way(int from, int to);
+        /** Returns the one-way delay between two zones in microseconds. */
+        long oneWayMicros(int from, int to);
 
-        /** Brings a datagram to all other schedulers, or loses it. */
-        void tellOthers(PlayedScheduler from, byte[] message);
+        /** Sends a datagram to all other schedulers; each copy can be lost or duplicated. */
+        void broadcast(SimulatedDispatcher from, byte[] message);
 
-        /** A task has started, so many microseconds after its client asked. */
+        /** Records that a task has started, this many microseconds after its request. */
         void started(TaskKind kind, long waited);
 
-        /** Another attempt of a task has started while the first was out. */
-        void startedAgain();
+        /** Records that a further attempt of an already started task has started. */
+        void hedgeStarted();
 
-        void turnedDown();
+        void refused();
 
         void failed();
     }
@@ -50,33 +50,35 @@
     final int zone;
     final CallMeter meter;
     final DatagramCount datagrams = new DatagramCount();
-    private final VirtualClock kernel;
+    private final VirtualClock clock;
     private final Fleet fleet;
     private final Settings settings;
     private Dispatcher module;
     private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ArrayDeque<Runnable> ordered = new ArrayDeque<>();
+    /** Actions that the module issued during the current call. */
+    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
+
     private int requests;
     private long entriesApplied;
 
-    PlayedScheduler(int number, int zone, Settings settings, CallMeter meter, VirtualClock kernel, Fleet fleet) {
+    SimulatedDispatcher(int number, int zone, Settings settings, CallMeter meter, VirtualClock clock, Fleet fleet) {
         this.number = number;
         this.zone = zone;
         this.settings = settings;
         this.meter = meter;
-        this.kernel = kernel;
+        this.clock = clock;
         this.fleet = fleet;
         this.module = new Dispatcher(settings, this);
     }
 
     private void call(CallKind kind, Runnable call) {
-        meter.call(kind, call);
-        while (!ordered.isEmpty()) {
-            ordered.poll().run();
+        meter.measure(kind, call);
+        while (!pendingActions.isEmpty()) {
+            pendingActions.poll().run();
         }
     }
 
-    /** Begins to count; what came before was the warm-up. */
+    /** Resets the counts at the end of the warm-up. */
     void reset() {
         meter.reset();
         datagrams.reset();
@@ -84,61 +86,66 @@
     }
 
     void start(List<Member> workers) {
-        call(CallKind.START, () -> module.start(kernel.now()));
+        call(CallKind.START, () -> module.start(clock.now()));
         list(ListKind.WHOLE, workers);
     }
 
     void list(ListKind kind, List<Member> entries) {
         entriesApplied += entries.size();
-        call(CallKind.LIST, () -> module.list(kernel.now(), kind, entries));
+        call(CallKind.LIST, () -> module.list(clock.now(), kind, entries));
     }
 
-    /** Other quotas from now on. */
+    /** Applies new tenant quotas. */
     void quotas(double[] quotas) {
         Settings next = new Settings();
         next.copyIdentityFrom(settings);
         next.copyReloadableFrom(settings);
         next.tenantQuota = quotas;
-        call(CallKind.SETTINGS, () -> module.changeSettings(kernel.now(), next));
+        call(CallKind.SETTINGS, () -> module.changeSettings(clock.now(), next));
     }
 
-    void heard(int from, byte[] message) {
-        datagrams.in(message);
-        call(CallKind.DATAGRAM, () -> module.peerMessage(kernel.now(), from, message));
+    void receive(int from, byte[] message) {
+        datagrams.countReceived(message);
+        call(CallKind.DATAGRAM, () -> module.peerMessage(clock.now(), from, message));
     }
 
     void request(Arrivals.Arrival arrival) {
         OpenRequest request = new OpenRequest("r" + number + "-" + ++requests, arrival.kind(), arrival.work());
         open.put(request.id, request);
         Request asked = new Request(
-                request.id, arrival.kind().ordinal(), arrival.tenant(), 1, arrival.guess(), TaskKind.Terms.DEADLINE);
-        call(CallKind.REQUEST, () -> module.request(kernel.now(), asked));
+                request.id,
+                arrival.kind().ordinal(),
+                arrival.tenant(),
+                1,
+                arrival.estimatedWork(),
+                TaskKind.Terms.DEADLINE_MICROS);
+        call(CallKind.REQUEST, () -> module.request(clock.now(), asked));
     }
 
     long entriesApplied() {
         return entriesApplied;
     }
 
-    WorkCounters effort() {
+    WorkCounters workCounters() {
         return module.workCounters();
     }
 
-    /** What the module holds, apart from what is round it. */
-    HeldState held() {
-        return HeldState.of(module, this);
+    /** Measures the objects that the module holds, without this simulation object. */
+    ObjectGraphSize heldState() {
+        return ObjectGraphSize.of(module, this);
     }
 
-    /** Lets go of the module, so that the memory that it held can be measured. */
-    void forget() {
+    /** Releases the module, so that the memory it held can be measured. */
+    void releaseModule() {
         module = null;
     }
 
-    /** A client's request until its answer and the ends of its attempts. */
+    /** A client's request, kept until it is answered and all its attempts have ended. */
     private final class OpenRequest {
         final String id;
         final TaskKind kind;
         final long work;
-        final long since = kernel.now();
+        final long since = clock.now();
         final List<Attempt> attempts = new ArrayList<>(1);
         int outstanding;
         boolean answered;
@@ -162,25 +169,25 @@
         }
     }
 
-    /** One try of a request at one worker. */
-    private final class Attempt implements PlayedWorker.Task {
-        /** One way for a connection to come up and the request to follow it. */
-        private static final int WAYS_TO_SEND = 4;
+    /** One attempt of a request on one worker. */
+    private final class Attempt implements SimulatedWorker.Task {
+        /** One-way delays until the worker has the request, including connection setup. */
+        private static final int ONE_WAY_DELAYS_TO_SEND = 4;
 
         final OpenRequest request;
         final int number;
-        final PlayedWorker worker;
-        final long sentAt = kernel.now();
+        final SimulatedWorker worker;
+        final long sentAt = clock.now();
         boolean ended;
 
-        Attempt(OpenRequest request, int number, PlayedWorker worker) {
+        Attempt(OpenRequest request, int number, SimulatedWorker worker) {
             this.request = request;
             this.number = number;
             this.worker = worker;
         }
 
         void send() {
-            kernel.runAfter(WAYS_TO_SEND * fleet.way(zone, worker.zone), () -> worker.offer(this));
+            clock.runAfter(ONE_WAY_DELAYS_TO_SEND * fleet.oneWayMicros(zone, worker.zone), () -> worker.offer(this));
         }
 
         private void end(Status status) {
@@ -192,21 +199,21 @@
             request.answered |= status == Status.OK;
             boolean answer = status == Status.OK || status == Status.FULL;
             DispatchApi.Load load = answer && settings.reportSource == ReportSource.ANSWERS ? worker.load() : null;
-            long took = kernel.now() - sentAt;
+            long took = clock.now() - sentAt;
             call(
                     CallKind.OUTCOME,
-                    () -> module.outcome(kernel.now(), request.id, number, request.answered, status, took, load));
+                    () -> module.outcome(clock.now(), request.id, number, request.answered, status, took, load));
             request.forgetIfEnded();
         }
 
-        private void back(Runnable run) {
-            kernel.runAfter(fleet.way(worker.zone, zone), run);
+        private void afterReturnDelay(Runnable run) {
+            clock.runAfter(fleet.oneWayMicros(worker.zone, zone), run);
         }
 
         private void note(Note note, double share) {
-            back(() -> {
+            afterReturnDelay(() -> {
                 if (!ended) {
-                    call(CallKind.NOTE, () -> module.note(kernel.now(), request.id, number, note, share));
+                    call(CallKind.NOTE, () -> module.note(clock.now(), request.id, number, note, share));
                 }
             });
         }
@@ -225,9 +232,9 @@
         public void started() {
             if (!request.everStarted) {
                 request.everStarted = true;
-                fleet.started(request.kind, kernel.now() - request.since);
+                fleet.started(request.kind, clock.now() - request.since);
             } else {
-                fleet.startedAgain();
+                fleet.hedgeStarted();
             }
             note(Note.STARTED, 0);
         }
@@ -239,20 +246,20 @@
 
         @Override
         public void done() {
-            back(() -> end(Status.OK));
+            afterReturnDelay(() -> end(Status.OK));
         }
 
         @Override
         public void rejected() {
-            back(() -> end(Status.FULL));
+            afterReturnDelay(() -> end(Status.FULL));
         }
     }
 
-    // What the module orders.
+    // Actions of the module.
 
     @Override
     public void send(String id, String worker, long timeout) {
-        ordered.add(() -> {
+        pendingActions.add(() -> {
             OpenRequest request = open.get(id);
             Attempt attempt = new Attempt(request, request.attempts.size(), fleet.worker(worker));
             request.attempts.add(attempt);
@@ -263,15 +270,15 @@
 
     @Override
     public void refuse(String id, long retryAfter) {
-        ordered.add(() -> {
-            fleet.turnedDown();
+        pendingActions.add(() -> {
+            fleet.refused();
             open.get(id).answer();
         });
     }
 
     @Override
     public void fail(String id) {
-        ordered.add(() -> {
+        pendingActions.add(() -> {
             fleet.failed();
             open.get(id).answer();
         });
@@ -279,32 +286,32 @@
 
     @Override
     public void cancel(String id, int attempt) {
-        ordered.add(() -> {
+        pendingActions.add(() -> {
             Attempt called = open.get(id).attempts.get(attempt);
-            kernel.runAfter(0, () -> called.end(Status.CANCELLED));
+            clock.runAfter(0, () -> called.end(Status.CANCELLED));
         });
     }
 
     @Override
     public void probe(String worker) {
-        throw new IllegalStateException("probes are not allowed here");
+        throw new IllegalStateException("the simulation has no probes, but the module sent one");
     }
 
     @Override
     public void sendToPeers(byte[] message) {
-        if (message.length > LONGEST_DATAGRAM) {
-            throw new IllegalStateException("a datagram of " + message.length + " bytes");
+        if (message.length > MAX_DATAGRAM_BYTES) {
+            throw new IllegalStateException("datagram of " + message.length + " bytes exceeds the size limit");
         }
-        ordered.add(() -> {
-            datagrams.out(message);
-            fleet.tellOthers(this, message);
+        pendingActions.add(() -> {
+            datagrams.countSent(message);
+            fleet.broadcast(this, message);
         });
     }
 
     @Override
     public void setTimer(long delay, String token) {
-        ordered.add(() -> kernel.runAfter(
-                Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timerFired(kernel.now(), token))));
+        pendingActions.add(() -> clock.runAfter(
+                Math.max(1, delay), () -> call(CallKind.REFRESH, () -> module.timerFired(clock.now(), token))));
     }
 
     @Override
--- a/src/main/java/barrowshore/capacity/PlayedWorker.java
+++ b/src/main/java/barrowshore/capacity/SimulatedWorker.java
@@ -6,19 +6,22 @@
 import barrowshore.module.DispatchApi.Member;
 import java.util.ArrayDeque;
 
-/** A worker of one speed: slots that run tasks, and a queue in order of arrival. It knows nothing of schedulers. */
-final class PlayedWorker {
-    /** Tasks that may wait for each slot before more are turned away. */
+/**
+ * A simulated worker: slots that run tasks, all at the same speed, and a FIFO queue. It does not depend on the
+ * schedulers.
+ */
+final class SimulatedWorker {
+    /** Maximum number of queued tasks per slot; further tasks are rejected. */
     private static final int QUEUE_PER_SLOT = 3;
-    /** Microseconds between two notes on how far a task is. */
-    static final long PROGRESS_EVERY = 2_000_000;
+    /** Microseconds between two progress notes of a task. */
+    static final long PROGRESS_INTERVAL_MICROS = 2_000_000;
 
-    /** A task's attempt as its worker sees it. */
+    /** An attempt of a task, as the worker uses it. */
     interface Task {
-        /** Microseconds that it runs. */
+        /** Returns the run time in microseconds. */
         long work();
 
-        /** Whether nobody waits for it any more. */
+        /** Returns whether the attempt has ended for its scheduler, so that it is not started. */
         boolean withdrawn();
 
         void started();
@@ -27,7 +30,7 @@
 
         void done();
 
-        /** There was no room for it. */
+        /** Called when the queue is full. */
         void rejected();
     }
 
@@ -35,25 +38,28 @@
     final int zone;
     private final int cell;
     private final int slots;
-    private final VirtualClock kernel;
+    private final VirtualClock clock;
     private final ArrayDeque<Task> waiting = new ArrayDeque<>(0);
     private int running;
 
-    PlayedWorker(String id, int zone, int cell, int slots, VirtualClock kernel) {
+    SimulatedWorker(String id, int zone, int cell, int slots, VirtualClock clock) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
         this.slots = slots;
-        this.kernel = kernel;
+        this.clock = clock;
     }
 
     Member entry(Health health) {
         return new Member(id, health, slots, cell, 0, zone, 0);
     }
 
-    /** The machine that takes this one's place: another name, and listed as long up, so that no warm-up limits the work. */
-    PlayedWorker replacement(String name) {
-        return new PlayedWorker(name, zone, cell, slots, kernel);
+    /**
+     * Returns the machine that replaces this one: it has another name, and is listed as up for long, so that no slow
+     * start limits it.
+     */
+    SimulatedWorker replacement(String name) {
+        return new SimulatedWorker(name, zone, cell, slots, clock);
     }
 
     void offer(Task task) {
@@ -70,11 +76,11 @@
         running++;
         task.started();
         long work = Math.max(1, task.work());
-        for (long at = PROGRESS_EVERY; at < work; at += PROGRESS_EVERY) {
+        for (long at = PROGRESS_INTERVAL_MICROS; at < work; at += PROGRESS_INTERVAL_MICROS) {
             double share = at / (double) work;
-            kernel.runAfter(at, () -> task.progress(share));
+            clock.runAfter(at, () -> task.progress(share));
         }
-        kernel.runAfter(work, () -> end(task));
+        clock.runAfter(work, () -> end(task));
     }
 
     private void end(Task task) {
--- a/src/test/java/barrowshore/capacity/HeldStateTest.java
+++ b/src/test/java/barrowshore/capacity/ObjectGraphSizeTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an object is found to hold. */
-class HeldStateTest {
-    /** Holds something of each kind, and itself. */
+/** Checks the entries and bytes counted in an object graph. */
+class ObjectGraphSizeTest {
+    /** Has a field of each kind that is followed, and a reference to itself. */
     private static final class Holder {
         final List<Holder> list = new ArrayList<>();
         final Map<String, double[]> map = new HashMap<>();
@@ -34,24 +34,24 @@
         holder.map.put("a", new double[100]);
         holder.map.put("b", new double[0]);
         holder.array[1] = holder;
-        assertThat(HeldState.of(holder, null).entries()).isEqualTo(1 + 2 + 1);
+        assertThat(ObjectGraphSize.of(holder, null).entries()).isEqualTo(1 + 2 + 1);
     }
 
     @Test
     void bytesGrowByWhatIsAdded() {
         Holder holder = holder();
-        long before = HeldState.of(holder, null).bytes();
+        long before = ObjectGraphSize.of(holder, null).bytes();
         holder.map.put("a", new double[1_000]);
-        assertThat(HeldState.of(holder, null).bytes() - before).isBetween(8_000L, 8_200L);
+        assertThat(ObjectGraphSize.of(holder, null).bytes() - before).isBetween(8_000L, 8_200L);
     }
 
     @Test
-    void whatIsExcludedIsNotFollowed() {
+    void excludedObjectIsNotFollowed() {
         Holder outside = holder();
         outside.list.add(holder());
         Holder holder = holder();
         holder.itself = outside;
-        assertThat(HeldState.of(holder, null).entries()).isEqualTo(1);
-        assertThat(HeldState.of(holder, outside).entries()).isZero();
+        assertThat(ObjectGraphSize.of(holder, null).entries()).isEqualTo(1);
+        assertThat(ObjectGraphSize.of(holder, outside).entries()).isZero();
     }
 }
