--- a/src/main/java/barrowshore/cli/Main.java
+++ b/src/main/java/barrowshore/cli/Main.java
@@ -149,9 +149,9 @@
             new WireHost(
                             new FileInputStream(FileDescriptor.in),
                             new FileOutputStream(FileDescriptor.out),
-                            (zones, settings) -> settings.halls = operatorSettings.halls() == null
+                            (zones, settings) -> settings.halls = operatorSettings.hallSettings() == null
                                     ? null
-                                    : operatorSettings.halls().rulesFor(zones, settings.zone))
+                                    : operatorSettings.hallSettings().rulesFor(zones, settings.zone))
                     .run();
         }
     }
@@ -246,7 +246,7 @@
                     }
                     OperatorServerList next = ServersFile.read(nextFile);
                     ServerListChangePolicy.diff(list, next).forEach(System.out::println);
-                    ServerListChangePolicy.Decision decision = ServerListChangePolicy.check(list, next, maxLostShare);
+                    ServerListChangePolicy.Decision decision = ServerListChangePolicy.decide(list, next, maxLostShare);
                     System.out.println(decision.outcome().name().toLowerCase(Locale.ROOT)
                             + (decision.reason().isEmpty() ? "" : ": " + decision.reason()));
                 }
--- a/src/main/java/barrowshore/client/ClientConnections.java
+++ b/src/main/java/barrowshore/client/ClientConnections.java
@@ -43,7 +43,7 @@
  */
 public final class ClientConnections {
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final int MAX_REQUEST_HEADER_BYTES = 16 * 1024;
     /** A request is answered this long before the client's deadline, to leave time for the answer's way back. */
     private static final long ANSWER_MARGIN_MICROS = 25_000;
     /** For connections on which a job has been answered. */
@@ -146,7 +146,7 @@
     }
 
     /** Prepares for a kill after that time: requests that still arrive must be answered before it. */
-    public void scheduleEnd(long millisToKill) {
+    public void capDeadlinesForShutdown(long millisToKill) {
         long now = clock.micros();
         mailbox.post(() -> {
             capFromMicros = now + SHUTDOWN_GRACE_MILLIS * 1000;
@@ -159,8 +159,8 @@
      * Closes connections without an open request: all, or only those on which a job has been answered. The others are
      * about to send a request, or their time limit closes them.
      */
-    public void closeIdle(boolean all) {
-        mailbox.post(() -> connections.forEach(connection -> connection.closeIdleConnection(all)));
+    public void closeIdle(boolean includeUnanswered) {
+        mailbox.post(() -> connections.forEach(connection -> connection.closeIdleConnection(includeUnanswered)));
     }
 
     /** Sets the limit on connections and evicts those above it. */
@@ -174,7 +174,7 @@
         });
     }
 
-    public void whenEmpty(Runnable action) {
+    public void runWhenEmpty(Runnable action) {
         mailbox.post(() -> {
             whenEmpty = action;
             notifyIfEmpty();
@@ -289,7 +289,7 @@
 
         ClientConnection(EndPoint endPoint) {
             super(endPoint, new Mailbox("a client connection", pool), timers);
-            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_HEADER_BYTES, HttpCompliance.RFC9110);
+            parser = new HttpParser((HttpParser.RequestHandler) this, MAX_REQUEST_HEADER_BYTES, HttpCompliance.RFC9110);
         }
 
         @Override
@@ -369,13 +369,13 @@
             busy = true;
             persistent = false;
             if (requestHead != null) {
-                requestHandler.countTurnedAway(requestHead.jobClass());
+                requestHandler.countRejected(requestHead.jobClass());
             }
             sendAnswer(new JobRequest.Rejection(OVERLOAD_RETRY_AFTER_MICROS));
         }
 
         @Override
-        protected boolean wantsBytes() {
+        protected boolean isParsingEnabled() {
             return !busy;
         }
 
@@ -509,7 +509,7 @@
             setEvictionGroup(this, null);
             if (requestHead == null) {
                 // The service state is read last: it may have been drained since the question was asked.
-                requestHandler.askReady(listed -> mailbox.post(() -> {
+                requestHandler.checkReady(listed -> mailbox.post(() -> {
                     boolean ready = listed && serviceState.get().acceptsClients();
                     respondText(ready ? 200 : 503, ready ? "ready" : "not ready");
                 }));
@@ -737,7 +737,7 @@
         }
 
         @Override
-        protected void onEnd(Throwable cause) {
+        protected void onClosed(Throwable cause) {
             gone = true;
             removeConnection(this);
             releaseBufferedBytes();
--- a/src/main/java/barrowshore/config/Config.java
+++ b/src/main/java/barrowshore/config/Config.java
@@ -27,9 +27,9 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         InetSocketAddress ops,
-        int sockets,
+        int maxDescriptors,
         Settings settings,
-        long keepAlive,
+        long keepAliveMicros,
         long grace,
         List<String> classes,
         List<String> tenants,
@@ -78,9 +78,9 @@
                         listen,
                         discovery,
                         parseAddress(text, "GW_OPS"),
-                        sockets,
+                        maxDescriptors,
                         settings,
-                        keepAlive,
+                        keepAliveMicros,
                         grace,
                         classes,
                         tenants,
@@ -126,7 +126,7 @@
         List<JobClass> jobClasses = new ArrayList<>(List.of(running.settings.classes));
         for (int k = 0; k < classes.size(); k++) {
             int number = classNames.indexOf(classes.get(k));
-            if (settings.classes[k].kind() >= running.settings.kinds) {
+            if (settings.classes[k].kind() >= running.settings.machineKinds) {
                 throw new ConfigException("settings: domain.classKind." + k + " is no kind of machine since the start");
             }
             if (number >= 0) {
@@ -151,9 +151,9 @@
                 running.listen,
                 discovery,
                 running.ops,
-                running.sockets,
+                running.maxDescriptors,
                 merged,
-                running.keepAlive,
+                running.keepAliveMicros,
                 grace,
                 List.copyOf(classNames),
                 tenants,
@@ -178,8 +178,7 @@
         }
         Map<?, ?> nestedSettings = requireObject(root.get("settings"), "settings");
         SettingsReader reader = SettingsReader.of(nestedSettings);
-        ServerList.ZoneKindNames names =
-                new ServerList.ZoneKindNames(reader.listItems("zones"), reader.listItems("kinds"));
+        ServerList.ZoneKindNames names = new ServerList.ZoneKindNames(reader.itemsOf("zones"), reader.itemsOf("kinds"));
         Settings settings;
         long keepAlive;
         long grace;
--- a/src/main/java/barrowshore/emulate/EmulatedScheduler.java
+++ b/src/main/java/barrowshore/emulate/EmulatedScheduler.java
@@ -87,7 +87,7 @@
         moduleSettings.dispatchers = emulation.schedulers.size();
         moduleSettings.ownIndex = number;
         moduleSettings.zone = zone;
-        moduleSettings.kinds = deployment.machines().size();
+        moduleSettings.machineKinds = deployment.machines().size();
         moduleSettings.tickMicros = 5 * Emulation.MILLISECOND;
         moduleSettings.classes = new JobClass[classes.size()];
         for (int c = 0; c < moduleSettings.classes.length; c++) {
@@ -124,9 +124,9 @@
         moduleSettings.overloadMultiple = deployment.coldStart().overloadMultiple();
         moduleSettings.overloadWindowMicros = deployment.coldStart().overloadWindowMicros();
         moduleSettings.crossZoneCharge = deployment.charges().perCrossing();
-        moduleSettings.halls = emulation.operator.halls() == null
+        moduleSettings.halls = emulation.operator.hallSettings() == null
                 ? null
-                : emulation.operator.halls().rulesFor(scenario.zoneNames(), zone);
+                : emulation.operator.hallSettings().rulesFor(scenario.zoneNames(), zone);
         return moduleSettings;
     }
 
@@ -259,7 +259,7 @@
         request.attempts.add(attempt);
         request.openAttemptCount++;
         outstandingSlots[node.zone] += request.job.slots;
-        HallState hallState = emulation.operator.halls() == null
+        HallState hallState = emulation.operator.hallSettings() == null
                 ? HallState.SERVING
                 : module.hallStates().get(node.zone);
         report.recordChoice(
--- a/src/main/java/barrowshore/emulate/ScenarioRunner.java
+++ b/src/main/java/barrowshore/emulate/ScenarioRunner.java
@@ -36,7 +36,7 @@
         if (seeds < 1) {
             throw new ConfigException("--seeds must be at least 1");
         }
-        if (compare && operator.halls() == null) {
+        if (compare && operator.hallSettings() == null) {
             throw new ConfigException("--compare needs --operator with halls: without them both runs are the same");
         }
         List<Report> on = runSeeds(scenario, operator, seed, seeds);
--- a/src/main/java/barrowshore/exchange/PeerSlots.java
+++ b/src/main/java/barrowshore/exchange/PeerSlots.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * The slots in flight that the other schedulers (peers) last reported, per worker name (see {@link SlotSnapshot#nameOf}).
+ * The slots in flight that the other schedulers (peers) last reported, per worker name (see {@link SlotSnapshot#hashOf}).
  * Each difference goes to the caller's {@link SlotSums}, so that no sum over all peers and workers is ever recomputed. Does
  * no I/O; the caller passes the time in microseconds.
  */
@@ -39,8 +39,8 @@
     private final long silenceMicros;
     private final SlotSums sums;
     private long malformedDatagrams;
-    private long unknownWorkers;
-    private long visits;
+    private long entriesOfUnknownWorkers;
+    private long entriesProcessed;
 
     /**
      * @param schedulers the number of schedulers, this one included
@@ -102,7 +102,7 @@
         covered.clear();
         int rangeLength = SlotSnapshot.namesPerPrefix(snapshot.nameBits());
         for (SlotSnapshot.Entry entry : snapshot.entries()) {
-            visits++;
+            entriesProcessed++;
             RangeSlots updated = new RangeSlots(entry.name() + rangeLength, entry.slots());
             RangeSlots previous = dropped.get(entry.name());
             if (previous != null && previous.rangeEnd == updated.rangeEnd) {
@@ -113,7 +113,7 @@
             }
         }
         dropped.forEach((name, old) -> {
-            visits++;
+            entriesProcessed++;
             sums.add(name, old.rangeEnd, -old.slots);
         });
     }
@@ -122,7 +122,7 @@
         if (sums.add(name, rangeSlots.rangeEnd, difference)) {
             peer.slotsByName.put(name, rangeSlots);
         } else {
-            unknownWorkers++;
+            entriesOfUnknownWorkers++;
         }
     }
 
@@ -133,7 +133,7 @@
         }
         peer.counted = counted;
         peer.slotsByName.forEach((name, rangeSlots) -> {
-            visits++;
+            entriesProcessed++;
             sums.add(name, rangeSlots.rangeEnd, counted ? rangeSlots.slots : -rangeSlots.slots);
         });
     }
@@ -166,7 +166,7 @@
     }
 
     /** Stored entries over all peers. */
-    public int figureCount() {
+    public int entryCount() {
         int sum = 0;
         for (Peer peer : peers) {
             sum += peer == null ? 0 : peer.slotsByName.size();
@@ -180,12 +180,12 @@
     }
 
     /** Reported entries dropped because no known worker matches their name. */
-    public long unknownWorkers() {
-        return unknownWorkers;
+    public long entriesOfUnknownWorkers() {
+        return entriesOfUnknownWorkers;
     }
 
     /** Entries processed so far, as a measure of work done. */
-    public long visits() {
-        return visits;
+    public long entriesProcessed() {
+        return entriesProcessed;
     }
 }
--- a/src/main/java/barrowshore/exchange/SlotSnapshot.java
+++ b/src/main/java/barrowshore/exchange/SlotSnapshot.java
@@ -48,7 +48,7 @@
     public record Entry(int name, int slots) {}
 
     /** The full name of a worker, equal at every scheduler: the upper 30 bits of the CRC-32 of its id. */
-    public static int nameOf(String workerId) {
+    public static int hashOf(String workerId) {
         CRC32 checksum = new CRC32();
         checksum.update(workerId.getBytes(StandardCharsets.UTF_8));
         return (int) (checksum.getValue() >>> (Integer.SIZE - FULL_NAME_BITS));
--- a/src/main/java/barrowshore/exchange/SnapshotSender.java
+++ b/src/main/java/barrowshore/exchange/SnapshotSender.java
@@ -15,7 +15,7 @@
  */
 public final class SnapshotSender {
     /** Bytes of the IP and UDP headers of one datagram. */
-    public static final int HEADER_BYTES = 28;
+    public static final int IP_UDP_HEADER_BYTES = 28;
     /** Traffic in and out of one scheduler, headers included, from all schedulers together while jobs are long. */
     static final double FLEET_BUDGET_BYTES_PER_SECOND = 0.85 * 4096;
     /**
@@ -37,7 +37,7 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
     /** Unused budget accumulates up to two full datagrams. */
-    private static final double MAX_SAVED_BUDGET_BYTES = 2.0 * (SlotSnapshot.MAX_BYTES + HEADER_BYTES);
+    private static final double MAX_SAVED_BUDGET_BYTES = 2.0 * (SlotSnapshot.MAX_BYTES + IP_UDP_HEADER_BYTES);
 
     private final double budgetBytesPerSecond;
     private final long heartbeatMicros;
@@ -62,7 +62,7 @@
     public SnapshotSender(int schedulers, long heartbeatMicros) {
         this.budgetBytesPerSecond = Math.max(MIN_BUDGET_BYTES_PER_SECOND, FLEET_BUDGET_BYTES_PER_SECOND / schedulers);
         this.heartbeatMicros = heartbeatMicros;
-        int affordableBytes = (int) (budgetBytesPerSecond * PART_INTERVAL_SECONDS) - HEADER_BYTES;
+        int affordableBytes = (int) (budgetBytesPerSecond * PART_INTERVAL_SECONDS) - IP_UDP_HEADER_BYTES;
         this.maxPartBytes = Math.min(SlotSnapshot.MAX_BYTES, Math.max(MIN_PART_BYTES, affordableBytes));
     }
 
@@ -107,12 +107,12 @@
         SlotSnapshot.Writer writer = new SlotSnapshot.Writer(nameBits, from, maxPartBytes);
         int to = addEntries(writer, from, nameBits);
         byte[] message = writer.finish(incarnation, sequence + 1, to);
-        double missingBytes = message.length + HEADER_BYTES - budgetBytes;
+        double missingBytes = message.length + IP_UDP_HEADER_BYTES - budgetBytes;
         if (missingBytes > 0) {
             waitUntilMicros = now + (long) (missingBytes / rateBytesPerSecond * MICROS_PER_SECOND);
             return null;
         }
-        budgetBytes -= message.length + HEADER_BYTES;
+        budgetBytes -= message.length + IP_UDP_HEADER_BYTES;
         sequence++;
         sentAtMicros = now;
         unsentNames.subSet(from, to).clear();
--- a/src/main/java/barrowshore/files/WatchedFile.java
+++ b/src/main/java/barrowshore/files/WatchedFile.java
@@ -173,7 +173,7 @@
                 checkedContent = bytes;
             }
             OperatorServerList candidate = ServersFile.parse(file.toString(), bytes);
-            ServerListChangePolicy.Decision decision = ServerListChangePolicy.check(inUse, candidate, maxLostShare);
+            ServerListChangePolicy.Decision decision = ServerListChangePolicy.decide(inUse, candidate, maxLostShare);
             switch (decision.outcome()) {
                 case TAKEN -> takeOver(candidate);
                 case SAME -> inUse = candidate;
--- a/src/main/java/barrowshore/list/OperatorServerList.java
+++ b/src/main/java/barrowshore/list/OperatorServerList.java
@@ -25,27 +25,28 @@
             String model,
             double weight,
             int cell,
-            boolean drains,
+            boolean draining,
             boolean warm,
             int line) {
         /** Whether two entries are equal apart from their line in the file. */
-        boolean same(Server other) {
+        boolean equalsIgnoringLine(Server other) {
             return uid.equals(other.uid)
                     && endpoint.equals(other.endpoint)
                     && hall.equals(other.hall)
                     && model.equals(other.model)
                     && weight == other.weight
                     && cell == other.cell
-                    && drains == other.drains
+                    && draining == other.draining
                     && warm == other.warm;
         }
     }
 
     /** Whether both lists have the same servers with the same attributes. */
-    public boolean same(OperatorServerList other) {
+    public boolean hasSameServers(OperatorServerList other) {
         return servers.size() == other.servers.size()
                 && servers.values().stream()
-                        .allMatch(s -> other.servers.containsKey(s.uid) && s.same(other.servers.get(s.uid)));
+                        .allMatch(s ->
+                                other.servers.containsKey(s.uid) && s.equalsIgnoringLine(other.servers.get(s.uid)));
     }
 
     /**
@@ -68,7 +69,8 @@
                         + " is none of the kinds " + String.join(", ", names.kinds()));
             }
             // A server of weight 0 gets no new jobs and finishes those it has, which is a drain.
-            ServerList.State state = s.drains || s.weight == 0 ? ServerList.State.TERMINATING : ServerList.State.READY;
+            ServerList.State state =
+                    s.draining || s.weight == 0 ? ServerList.State.TERMINATING : ServerList.State.READY;
             entries.add(new ServerList.Entry(
                     s.uid,
                     s.endpoint.getAddress().getHostAddress() + ":" + s.endpoint.getPort(),
--- a/src/main/java/barrowshore/list/ServerListChangePolicy.java
+++ b/src/main/java/barrowshore/list/ServerListChangePolicy.java
@@ -27,7 +27,7 @@
     private ServerListChangePolicy() {}
 
     /** Compares a file with the one in use (null: none). maxLostShare: the share of capacity it may remove at once. */
-    public static Decision check(OperatorServerList inUse, OperatorServerList next, double maxLostShare) {
+    public static Decision decide(OperatorServerList inUse, OperatorServerList next, double maxLostShare) {
         if (inUse == null) {
             return next.servers().isEmpty() && !next.force()
                     ? new Decision(Outcome.HELD, "it names no server; force=\"true\" in a later revision confirms it")
@@ -38,7 +38,7 @@
                     Outcome.REFUSED,
                     "its revision " + next.revision() + " is before " + inUse.revision() + ", which is in use");
         }
-        if (next.same(inUse)) {
+        if (next.hasSameServers(inUse)) {
             return new Decision(Outcome.SAME, "it names the same servers");
         }
         if (next.revision() == inUse.revision()) {
@@ -83,7 +83,7 @@
     }
 
     private static double usableCapacity(Server s) {
-        return s.drains() ? 0 : s.weight();
+        return s.draining() ? 0 : s.weight();
     }
 
     private static Map<String, Double> capacityByHall(Collection<Server> servers) {
@@ -103,7 +103,7 @@
             Server old = from.servers().get(s.uid());
             if (old == null) {
                 lines.add("+ " + s.uid() + " " + describe(s));
-            } else if (!old.same(s)) {
+            } else if (!old.equalsIgnoringLine(s)) {
                 lines.add("~ " + s.uid() + " " + describe(old) + " -> " + describe(s));
             }
         }
@@ -124,6 +124,6 @@
 
     private static String describe(Server s) {
         return s.endpoint().getAddress().getHostAddress() + ":" + s.endpoint().getPort() + " " + s.hall() + " "
-                + s.model() + " weight " + s.weight() + (s.drains() ? " drain" : "") + (s.warm() ? " warm" : "");
+                + s.model() + " weight " + s.weight() + (s.draining() ? " drain" : "") + (s.warm() ? " warm" : "");
     }
 }
--- a/src/main/java/barrowshore/module/DispatchApi.java
+++ b/src/main/java/barrowshore/module/DispatchApi.java
@@ -102,14 +102,14 @@
 
         public int zone;
         /** How many machine kinds there are. */
-        public int kinds = 1;
+        public int machineKinds = 1;
 
         public long tickMicros = 1_000;
         public JobClass[] classes = new JobClass[0];
         /** Jobs per second that each tenant may send to all dispatchers together; empty: no tenants. */
         public double[] tenantQuota = new double[0];
 
-        public double overQuotaWorth = 0.1;
+        public double overQuotaWorthShare = 0.1;
         /** Whether a class's worth is per unit of work rather than per job. */
         public boolean worthPerWork;
 
@@ -154,7 +154,7 @@
         }
 
         void check(Member m) {
-            require(m.kind() >= 0 && m.kind() < kinds, "member kind is not in settings");
+            require(m.machineKind() >= 0 && m.machineKind() < machineKinds, "member kind is not in settings");
         }
 
         /** An independent copy. */
@@ -171,7 +171,7 @@
         public void copyReloadableFrom(Settings next) {
             classes = next.classes;
             tenantQuota = next.tenantQuota;
-            overQuotaWorth = next.overQuotaWorth;
+            overQuotaWorthShare = next.overQuotaWorthShare;
             worthPerWork = next.worthPerWork;
             maxAttempts = next.maxAttempts;
             mayHedge = next.mayHedge;
@@ -198,7 +198,7 @@
             dispatchers = other.dispatchers;
             ownIndex = other.ownIndex;
             zone = other.zone;
-            kinds = other.kinds;
+            machineKinds = other.machineKinds;
             tickMicros = other.tickMicros;
             connectTimeoutMicros = other.connectTimeoutMicros;
             halls = other.halls;
@@ -208,9 +208,9 @@
         public void validate() {
             require(classes.length > 0, "classes must name at least one class");
             require(dispatchers >= 1, "dispatchers must be at least 1");
-            require(kinds >= 1, "kinds must be at least 1");
+            require(machineKinds >= 1, "kinds must be at least 1");
             for (JobClass c : classes) {
-                require(c.kind() < kinds, "class kind must be under kinds");
+                require(c.kind() < machineKinds, "class kind must be under kinds");
             }
             require(tickMicros > 0, "tick must be positive");
             require(maxAttempts >= 1, "maxAttempts must be at least 1");
@@ -223,7 +223,7 @@
     }
 
     /** One entry of the worker list; startedAt 0: warmed up long ago. */
-    record Member(String worker, Health health, double rating, int cell, int kind, int zone, long startedAt) {}
+    record Member(String worker, Health health, double rating, int cell, int machineKind, int zone, long startedAt) {}
 
     /** A job to answer. workHintMicros: the client's estimate of its work at speed 1; 0: unknown. */
     record Request(String id, int jobClass, int tenant, double slots, double workHintMicros, long timeLeftMicros) {}
@@ -245,7 +245,7 @@
     void outcome(long now, String id, int attempt, boolean closed, Status status, long latency, Load load);
 
     /** A worker's note on a running attempt; share: the part done, from 0 to 1, if it reports progress. */
-    void note(long now, String id, int attempt, Note note, double share);
+    void note(long now, String id, int attempt, Note note, double doneShare);
 
     /** The client no longer waits for the request. */
     void clientGone(long now, String id);
@@ -282,7 +282,7 @@
      * Sets this process's share, from 0 to 1, of the dispatcher's part of budgets that all dispatchers share, such as
      * cold workers'. It is below 1 while two processes act as one dispatcher.
      */
-    default void setDispatcherShare(double part) {}
+    default void setDispatcherShare(double share) {}
 
     /** How many ready workers get no job of any kind now. */
     default int countAvoided(long now) {
@@ -292,10 +292,10 @@
     /** The actions that a dispatcher orders; implemented by its owner. */
     interface Actions {
         /** Starts the next attempt of a request; timeout 0: none but the client's deadline. */
-        void send(String id, String worker, long timeout);
+        void send(String id, String worker, long timeoutMicros);
 
         /** Final answer: retrying is harmless, after retryAfter microseconds if above 0. */
-        void refuse(String id, long retryAfter);
+        void refuse(String id, long retryAfterMicros);
 
         /** Final answer: the job may or may not have run. */
         void fail(String id);
@@ -307,7 +307,7 @@
         /** Sends a message of at most 256 bytes to every other dispatcher. */
         void sendToPeers(byte[] message);
 
-        void setTimer(long delay, String token);
+        void setTimer(long delayMicros, String token);
 
         /** Requests the worker list and its changes from now on. */
         void watchList();
--- a/src/main/java/barrowshore/module/Dispatcher.java
+++ b/src/main/java/barrowshore/module/Dispatcher.java
@@ -69,11 +69,11 @@
         settings = initialSettings.copy();
         actions = actionHandler;
         rng = new Rng(initialSettings.seed);
-        openJobs = new OpenJobs(settings.kinds);
+        openJobs = new OpenJobs(settings.machineKinds);
         traffic = new TrafficStats(settings);
         halls = new HallAdapter(settings, actions, rng, traffic);
         workers = new WorkerList(halls);
-        kinds = new MachineKind[settings.kinds];
+        kinds = new MachineKind[settings.machineKinds];
         Arrays.setAll(kinds, k -> new MachineKind(traffic.meanWork));
         peerSlots = new PeerSlotExchange(settings.dispatchers, settings.ownIndex, workers, workCounters);
         fleet = new FleetView(
@@ -205,7 +205,7 @@
                 * traffic.meanTarget
                 * traffic.relativeWorth(job)
                 / (fleet.overload() * fleet.overload());
-        maxWait *= job.overQuota ? settings.overQuotaWorth : 1;
+        maxWait *= job.overQuota ? settings.overQuotaWorthShare : 1;
         workCounters.countPick(workers.ready.length);
         for (Worker worker : workers.ready) {
             double hallPrice = prices[worker.hall];
--- a/src/main/java/barrowshore/module/HallAdapter.java
+++ b/src/main/java/barrowshore/module/HallAdapter.java
@@ -35,7 +35,7 @@
 
     /** The job's worth relative to the mean job, at most 1, reduced if it is over quota. */
     private double relativeWorth(Job job) {
-        return Math.min(1, traffic.relativeWorth(job)) * (job.overQuota ? settings.overQuotaWorth : 1);
+        return Math.min(1, traffic.relativeWorth(job)) * (job.overQuota ? settings.overQuotaWorthShare : 1);
     }
 
     /** Applies new rules, null: none; the halls keep their states if there were rules before. */
--- a/src/main/java/barrowshore/module/PeerSlotExchange.java
+++ b/src/main/java/barrowshore/module/PeerSlotExchange.java
@@ -46,10 +46,13 @@
 
     /** Applies a peer's datagram, or drops it if malformed; returns the workers that it changed. */
     List<Worker> receive(long now, int from, byte[] message) {
-        long visitsBefore = peerSlots.visits();
+        long visitsBefore = peerSlots.entriesProcessed();
         boolean entered = peerSlots.receive(now, from, message);
         counters.countDatagram(
-                entered, peerSlots.visits() - visitsBefore, peerSlots.malformedDatagrams(), peerSlots.unknownWorkers());
+                entered,
+                peerSlots.entriesProcessed() - visitsBefore,
+                peerSlots.malformedDatagrams(),
+                peerSlots.entriesOfUnknownWorkers());
         return takeChangedWorkers();
     }
 
@@ -66,7 +69,7 @@
 
     /** How many figures are held, peers' and our own. */
     int figureCount() {
-        return peerSlots.figureCount() + sender.nameCount();
+        return peerSlots.entryCount() + sender.nameCount();
     }
 
     @Override
--- a/src/main/java/barrowshore/module/Worker.java
+++ b/src/main/java/barrowshore/module/Worker.java
@@ -50,7 +50,7 @@
 
     Worker(String id) {
         this.id = id;
-        this.exchangeName = barrowshore.exchange.SlotSnapshot.nameOf(id);
+        this.exchangeName = barrowshore.exchange.SlotSnapshot.hashOf(id);
     }
 
     /** Forgets errors and time-outs from before a restart. */
--- a/src/main/java/barrowshore/module/WorkerList.java
+++ b/src/main/java/barrowshore/module/WorkerList.java
@@ -55,7 +55,7 @@
         if (member.startedAt() != worker.startedAt) {
             worker.clearAfterRestart(now);
         }
-        worker.kind = member.kind();
+        worker.kind = member.machineKind();
         worker.zone = member.zone();
         worker.cell = member.cell();
         worker.rating = ratingsReflectLoad ? Math.max(worker.rating, member.rating()) : member.rating();
--- a/src/main/java/barrowshore/net/ConnectionManager.java
+++ b/src/main/java/barrowshore/net/ConnectionManager.java
@@ -303,7 +303,7 @@
     }
 
     /** Runs the callback once no accepted connection is open; for use after {@link #stopListening} is done. */
-    public void whenClientsGone(Runnable callback) {
+    public void runWhenClientsGone(Runnable callback) {
         clientsGoneCallback.set(callback);
         notifyIfClientsGone();
     }
--- a/src/main/java/barrowshore/net/HttpLink.java
+++ b/src/main/java/barrowshore/net/HttpLink.java
@@ -65,7 +65,7 @@
     }
 
     /** Called exactly once, when either side has closed the connection or it broke. */
-    protected abstract void onEnd(Throwable cause);
+    protected abstract void onClosed(Throwable cause);
 
     @Override
     public void onOpen() {
@@ -111,11 +111,11 @@
         closeNow();
     }
 
-    /** Reads and parses until no bytes are left or {@link #wantsBytes} stops it. */
+    /** Reads and parses until no bytes are left or {@link #isParsingEnabled} stops it. */
     protected void read() {
         try {
             while (!closed) {
-                if (!discarding && !flooded && BufferUtil.space(readBuffer) == 0 && !wantsBytes()) {
+                if (!discarding && !flooded && BufferUtil.space(readBuffer) == 0 && !isParsingEnabled()) {
                     flooded = discardsOverflow();
                 }
                 if (discarding || flooded) {
@@ -127,7 +127,7 @@
                         return;
                     }
                 }
-                boolean parse = !discarding && !flooded && wantsBytes();
+                boolean parse = !discarding && !flooded && isParsingEnabled();
                 if (parse && BufferUtil.hasContent(readBuffer)) {
                     parser.parseNext(readBuffer);
                     continue;
@@ -156,7 +156,7 @@
     }
 
     /** Whether bytes go to the parser now; if not, one buffer of them is kept, and the end of the stream is noticed. */
-    protected boolean wantsBytes() {
+    protected boolean isParsingEnabled() {
         return true;
     }
 
@@ -217,7 +217,7 @@
             closed = true;
             setTimeLimit(0);
             getEndPoint().close(cause);
-            onEnd(cause);
+            onClosed(cause);
         }
     }
 
--- a/src/main/java/barrowshore/node/JobScheduler.java
+++ b/src/main/java/barrowshore/node/JobScheduler.java
@@ -135,10 +135,10 @@
         Config config = schedulerConfig.config();
         this.config = config;
         this.hallRules = schedulerConfig.hallRules();
-        this.serversFile = schedulerConfig.operatorSettings().servers();
+        this.serversFile = schedulerConfig.operatorSettings().serversFile();
         this.timers = timers;
         int usableDescriptors =
-                config.sockets() - RESERVED_DESCRIPTORS - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
+                config.maxDescriptors() - RESERVED_DESCRIPTORS - (config.ops() == null ? 0 : OpsServer.MAX_DESCRIPTORS);
         serverDescriptors = (int) (usableDescriptors * SERVER_DESCRIPTOR_SHARE);
         clientDescriptors = usableDescriptors - serverDescriptors;
         connectionManager = new ConnectionManager(
@@ -154,15 +154,16 @@
                 timers,
                 config.classes(),
                 config.settings().maxAttempts,
-                uid -> new Server(uid, pool, this.connectionManager, timers, config.keepAlive(), serverDescriptors / 2),
+                uid -> new Server(
+                        uid, pool, this.connectionManager, timers, config.keepAliveMicros(), serverDescriptors / 2),
                 this::broadcastToPeers,
                 newModule);
         clients = new ClientConnections(
                 config, clock, pool, timers, module, serviceState::get, maxClientConnections(clientDescriptors));
-        serverList = schedulerConfig.operatorSettings().servers() == null
+        serverList = schedulerConfig.operatorSettings().serversFile() == null
                 ? null
                 : new ServerListActor(
-                        schedulerConfig.operatorSettings().servers(),
+                        schedulerConfig.operatorSettings().serversFile(),
                         config.names(),
                         clock,
                         pool,
@@ -188,7 +189,7 @@
         if (upgrade != null && upgrade.hasPredecessor()) {
             shareLimits(true);
             if (peers != null) {
-                peers.setQuiet(true);
+                peers.setMuted(true);
             }
             module.runWhenReady(this::listenBesidePredecessor);
         } else {
@@ -249,7 +250,7 @@
         try {
             listenToClients();
             if (peers != null) {
-                peers.setQuiet(false);
+                peers.setMuted(false);
             }
             upgrade.announceServing();
         } catch (IOException | RuntimeException e) {
@@ -547,7 +548,7 @@
                         "configuration fields changed that take effect only at a restart: {0}",
                         String.join(", ", needingRestart));
             }
-            if (!Objects.equals(serversFile, schedulerConfig.operatorSettings().servers())) {
+            if (!Objects.equals(serversFile, schedulerConfig.operatorSettings().serversFile())) {
                 LOG.log(Level.WARNING, "operator settings: servers changed, which takes effect only at a restart");
             }
             module.changeSettings(newConfig.settings(), newConfig.classes());
@@ -585,14 +586,14 @@
                 .max()
                 .orElse(0);
         long graceMillis = Math.min(MAX_JOB_GRACE_MILLIS, deadlineMillis) + EXTRA_GRACE_MILLIS;
-        clients.scheduleEnd(graceMillis - FINAL_ANSWER_MILLIS);
+        clients.capDeadlinesForShutdown(graceMillis - FINAL_ANSWER_MILLIS);
         module.scheduleFinalAnswers(graceMillis - FINAL_ANSWER_MILLIS);
         // Schedulers restarted one after the other were once all closed to new connections for 2 s. So clients are sent
         // away early only if another scheduler serves; else they stay as long as possible.
         Consumer<Boolean> releaseClients = othersServe -> timers.schedule(
                 () -> {
                     closeIdleRepeatedly(serviceState.updateAndGet(ServiceState::closeConnections), true);
-                    clients.whenEmpty(partDone);
+                    clients.runWhenEmpty(partDone);
                     module.runWhenIdle(partDone);
                 },
                 othersServe ? SETTLE_MILLIS : Math.max(SETTLE_MILLIS, graceMillis - USUAL_JOB_MILLIS),
@@ -601,7 +602,7 @@
             // The successor accepts clients and talks to peers; this process only answers the requests that it has.
             connectionManager.stopListening(clientListener, () -> {});
             if (peers != null) {
-                peers.stopReceiving();
+                peers.close();
             }
             serviceState.updateAndGet(ServiceState::closeConnections);
             releaseClients.accept(true);
@@ -624,7 +625,7 @@
             ended.countDown();
         } else {
             connectionManager.stopListening(
-                    listener, () -> connectionManager.whenClientsGone(() -> module.runWhenIdle(ended::countDown)));
+                    listener, () -> connectionManager.runWhenClientsGone(() -> module.runWhenIdle(ended::countDown)));
         }
     }
 
--- a/src/main/java/barrowshore/node/ModuleActor.java
+++ b/src/main/java/barrowshore/node/ModuleActor.java
@@ -153,7 +153,7 @@
         }
 
         @Override
-        public boolean mayBegin() {
+        public boolean maySend() {
             long now = clock.micros();
             // Called by the server's actor: an end that the actor here knows counts before the server is told of it.
             boolean stillWanted = !ended && !openRequest.answered && !openRequest.client.isGone();
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public void countTurnedAway(int jobClass) {
+    public void countRejected(int jobClass) {
         mailbox.post(() -> {
             counters.countOutcome(jobClass, SchedulerCounters.Outcome.DROPPED);
             publish();
@@ -294,7 +294,7 @@
 
     /** Answers whether the server list has come and the index tables are built. */
     @Override
-    public void askReady(Consumer<Boolean> asker) {
+    public void checkReady(Consumer<Boolean> asker) {
         mailbox.post(() -> asker.accept(listReceived));
     }
 
@@ -411,7 +411,7 @@
         }
         if (kind != ListKind.CHANGES) {
             listedServers.stream().filter(uid -> !named.contains(uid)).forEach(uid -> servers.get(uid)
-                    .unlisted());
+                    .markUnlisted());
             listedServers.retainAll(named);
         }
         update.entries().forEach(entry -> {
--- a/src/main/java/barrowshore/operator/OperatorSettings.java
+++ b/src/main/java/barrowshore/operator/OperatorSettings.java
@@ -17,7 +17,7 @@
  * The operators' settings, read from one XML file of their own, completely or not at all. Each subsystem has one
  * element and is off (null) without it. Settings that the platform decides do not belong here.
  */
-public record OperatorSettings(HallSettings halls, ServersFileSettings servers) {
+public record OperatorSettings(HallSettings hallSettings, ServersFileSettings serversFile) {
     /** Hall settings without a servers file. */
     public OperatorSettings(HallSettings halls) {
         this(halls, null);
@@ -53,7 +53,7 @@
         /** The schema's defaults, as an empty element has them. */
         public static HallSettings defaults() {
             return OperatorSettings.parse("usual", "<operator xmlns=\"urn:barrowshore:operator:1\"><halls/></operator>")
-                    .halls();
+                    .hallSettings();
         }
 
         /**
@@ -166,10 +166,11 @@
 
     /** One line for people to read. */
     public String summary() {
-        return (halls == null
+        return (hallSettings == null
                         ? "halls off"
-                        : "halls on, spill " + halls.spillShare() + ", tiers " + (halls.strict() ? "strict" : "priced")
-                                + ", preferences of " + halls.tiersByHomeHall().keySet())
-                + (servers == null ? "" : "; servers from " + servers.file());
+                        : "halls on, spill " + hallSettings.spillShare() + ", tiers "
+                                + (hallSettings.strict() ? "strict" : "priced") + ", preferences of "
+                                + hallSettings.tiersByHomeHall().keySet())
+                + (serversFile == null ? "" : "; servers from " + serversFile.file());
     }
 }
--- a/src/main/java/barrowshore/operator/SchedulerConfig.java
+++ b/src/main/java/barrowshore/operator/SchedulerConfig.java
@@ -16,8 +16,8 @@
     }
 
     private static HallRules hallRules(Config config, OperatorSettings operatorSettings) {
-        return operatorSettings.halls() == null
+        return operatorSettings.hallSettings() == null
                 ? null
-                : operatorSettings.halls().rulesFor(config.names().zones(), config.settings().zone);
+                : operatorSettings.hallSettings().rulesFor(config.names().zones(), config.settings().zone);
     }
 }
--- a/src/main/java/barrowshore/ops/OpsServer.java
+++ b/src/main/java/barrowshore/ops/OpsServer.java
@@ -170,7 +170,7 @@
         }
 
         @Override
-        protected boolean wantsBytes() {
+        protected boolean isParsingEnabled() {
             return !answered;
         }
 
@@ -222,7 +222,7 @@
         }
 
         @Override
-        protected void onEnd(Throwable cause) {
+        protected void onClosed(Throwable cause) {
             OpsServer.this.mailbox.post(() -> connections.remove(this));
         }
     }
--- a/src/main/java/barrowshore/peer/PeerMessenger.java
+++ b/src/main/java/barrowshore/peer/PeerMessenger.java
@@ -95,7 +95,7 @@
     }
 
     /** Stops or resumes sending: two processes sending as one scheduler would overwrite each other's reports at peers. */
-    public void setQuiet(boolean enabled) {
+    public void setMuted(boolean enabled) {
         mailbox.post(() -> quiet = enabled);
     }
 
@@ -145,8 +145,8 @@
     }
 
     /** Stops sending and closes the socket: from now on another process of this scheduler talks to the peers. */
-    public void stopReceiving() {
-        setQuiet(true);
+    public void close() {
+        setMuted(true);
         mailbox.post(() -> {
             try {
                 channel.close();
--- a/src/main/java/barrowshore/request/JobRequest.java
+++ b/src/main/java/barrowshore/request/JobRequest.java
@@ -87,9 +87,9 @@
         void clientGone(JobRequest request);
 
         /** Counts a job of the class that was rejected before it became a request. */
-        void countTurnedAway(int jobClass);
+        void countRejected(int jobClass);
 
         /** Passes to the callback whether requests can be served now. */
-        void askReady(Consumer<Boolean> callback);
+        void checkReady(Consumer<Boolean> callback);
     }
 }
--- a/src/main/java/barrowshore/servers/Server.java
+++ b/src/main/java/barrowshore/servers/Server.java
@@ -69,7 +69,7 @@
          * Whether sending may still begin: a client is waiting, and neither the deadline nor the window in which a repeat
          * is harmless has passed.
          */
-        boolean mayBegin();
+        boolean maySend();
 
         /** Checks whether the client is still connected, then runs the callback, in any thread; it may only post. */
         void checkClient(Runnable then);
@@ -132,7 +132,7 @@
     }
 
     /** The server list no longer has this server: nothing new is sent to it. */
-    public void unlisted() {
+    public void markUnlisted() {
         mailbox.post(() -> {
             state = ServerList.State.GONE;
             retireConnections();
@@ -353,7 +353,7 @@
 
         /** Checked right before the first byte: the server may have begun to drain while the connection came up. */
         private boolean mayBegin(Exchange next) {
-            return state == ServerList.State.READY && (next.attempt == null || next.attempt.mayBegin());
+            return state == ServerList.State.READY && (next.attempt == null || next.attempt.maySend());
         }
 
         private void returnToPool() {
@@ -413,7 +413,7 @@
         }
 
         @Override
-        protected boolean wantsBytes() {
+        protected boolean isParsingEnabled() {
             return exchange != null;
         }
 
@@ -555,7 +555,7 @@
         }
 
         @Override
-        protected void onEnd(Throwable cause) {
+        protected void onClosed(Throwable cause) {
             connections.remove(this);
             idleConnections.remove(this);
             if (reservedFor != null) {
--- a/src/main/java/barrowshore/servers/ServiceDiscovery.java
+++ b/src/main/java/barrowshore/servers/ServiceDiscovery.java
@@ -521,7 +521,7 @@
         }
 
         @Override
-        protected void onEnd(Throwable cause) {
+        protected void onClosed(Throwable cause) {
             activeWatch = activeWatch == this ? null : activeWatch;
             unansweredWatch = unansweredWatch == this ? null : unansweredWatch;
             if (!abandoned) {
--- a/src/main/java/barrowshore/standin/StandInDiscovery.java
+++ b/src/main/java/barrowshore/standin/StandInDiscovery.java
@@ -170,7 +170,7 @@
         }
 
         @Override
-        protected void onEnd(Throwable cause) {
+        protected void onClosed(Throwable cause) {
             watchLinks.remove(this);
         }
     }
--- a/src/main/java/barrowshore/standin/StandInLink.java
+++ b/src/main/java/barrowshore/standin/StandInLink.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    protected boolean wantsBytes() {
+    protected boolean isParsingEnabled() {
         return !handlingRequest;
     }
 
--- a/src/main/java/barrowshore/standin/StandInWorker.java
+++ b/src/main/java/barrowshore/standin/StandInWorker.java
@@ -240,7 +240,7 @@
         }
 
         @Override
-        protected void onEnd(Throwable cause) {
+        protected void onClosed(Throwable cause) {
             links.remove(this); // its job goes on: workers never cancel
         }
     }
--- a/src/main/java/barrowshore/wire/SettingsReader.java
+++ b/src/main/java/barrowshore/wire/SettingsReader.java
@@ -155,7 +155,7 @@
     }
 
     /** The items of a list of plain values. */
-    public List<String> listItems(String key) {
+    public List<String> itemsOf(String key) {
         return List.of(splitList(key));
     }
 
@@ -184,9 +184,9 @@
         settings.dispatchers = (int) number("groupSize", settings.dispatchers);
         settings.ownIndex = (int) number("me", settings.ownIndex);
         settings.zone = (int) number("zone", settings.zone);
-        settings.kinds = Math.max(1, splitList("kinds").length);
+        settings.machineKinds = Math.max(1, splitList("kinds").length);
         settings.tickMicros = (long) number("tick", settings.tickMicros);
-        settings.overQuotaWorth = number("overShareWorth", settings.overQuotaWorth);
+        settings.overQuotaWorthShare = number("overShareWorth", settings.overQuotaWorthShare);
         settings.worthPerWork = "work".equals(pairs.get("worthBy"));
         settings.maxAttempts = (int) number("policyLimits.sendCap", settings.maxAttempts);
         settings.mayHedge = flag("policyLimits.secondCopies", settings.mayHedge);
--- a/src/main/java/barrowshore/wire/WireHost.java
+++ b/src/main/java/barrowshore/wire/WireHost.java
@@ -180,7 +180,7 @@
             String settingsText = line.readRest();
             SettingsReader reader = SettingsReader.of(settingsText);
             Settings settings = reader.toSettings(seed);
-            adjustSettings.accept(reader.listItems("zones"), settings);
+            adjustSettings.accept(reader.itemsOf("zones"), settings);
             Instance instance = new Instance(number, settings);
             instances.put(number, instance);
             instance.dispatcher.start(nowMicros);
--- a/src/test/java/barrowshore/client/UnreadContinueTest.java
+++ b/src/test/java/barrowshore/client/UnreadContinueTest.java
@@ -41,10 +41,10 @@
         public void clientGone(JobRequest request) {}
 
         @Override
-        public void countTurnedAway(int jobClass) {}
+        public void countRejected(int jobClass) {}
 
         @Override
-        public void askReady(Consumer<Boolean> asker) {}
+        public void checkReady(Consumer<Boolean> asker) {}
     }
 
     @Test
--- a/src/test/java/barrowshore/config/ConfigTest.java
+++ b/src/test/java/barrowshore/config/ConfigTest.java
@@ -28,7 +28,7 @@
         assertThat(config.settings().classes[0].safety()).isEqualTo(RepeatSafety.SAFE);
         assertThat(config.settings().classes[1].safety()).isEqualTo(RepeatSafety.UNSAFE);
         assertThat(config.settings().connectTimeoutMicros).isEqualTo(250_000);
-        assertThat(config.keepAlive()).isEqualTo(60_000_000);
+        assertThat(config.keepAliveMicros()).isEqualTo(60_000_000);
         assertThat(config.knownServers().revision()).isEqualTo(5);
         assertThat(config.knownServers().entries()).singleElement().satisfies(e -> {
             assertThat(e.uid()).isEqualTo("s-1");
--- a/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
+++ b/src/test/java/barrowshore/exchange/ExchangePropertyTest.java
@@ -35,7 +35,7 @@
     private static final int ROUNDS_UNTIL_CORRECT = 14;
 
     private static final int[] WORKER_NAMES =
-            IntStream.range(0, 800).map(w -> SlotSnapshot.nameOf("worker-" + w)).toArray();
+            IntStream.range(0, 800).map(w -> SlotSnapshot.hashOf("worker-" + w)).toArray();
 
     private record DatagramInFlight(long arrivalMicros, int to, int from, byte[] message) {}
 
@@ -115,7 +115,7 @@
                         ? null
                         : scheduler.sender.nextDatagram(nowMicros, workerCount, JOB_MICROS);
                 for (int to = 0; message != null && to < schedulerCount; to++) {
-                    schedulerTrafficBytes += to == 0 ? message.length + SnapshotSender.HEADER_BYTES : 0;
+                    schedulerTrafficBytes += to == 0 ? message.length + SnapshotSender.IP_UDP_HEADER_BYTES : 0;
                     send(k, to, message);
                 }
                 scheduler.peerSlots.expireSilentPeers(nowMicros);
--- a/src/test/java/barrowshore/exchange/SlotSnapshotTest.java
+++ b/src/test/java/barrowshore/exchange/SlotSnapshotTest.java
@@ -91,7 +91,7 @@
 
     @Test
     void nameIsDeterministicAndInRange() {
-        assertThat(SlotSnapshot.nameOf("s-5be2a07c")).isEqualTo(SlotSnapshot.nameOf("s-5be2a07c"));
-        assertThat(SlotSnapshot.nameOf("s-5be2a07c")).isBetween(0, SlotSnapshot.NAME_LIMIT - 1);
+        assertThat(SlotSnapshot.hashOf("s-5be2a07c")).isEqualTo(SlotSnapshot.hashOf("s-5be2a07c"));
+        assertThat(SlotSnapshot.hashOf("s-5be2a07c")).isBetween(0, SlotSnapshot.NAME_LIMIT - 1);
     }
 }
--- a/src/test/java/barrowshore/files/ServersFileTest.java
+++ b/src/test/java/barrowshore/files/ServersFileTest.java
@@ -101,42 +101,43 @@
         OperatorServerList inUse = parse(validFile());
         String withoutOneServer =
                 validFile().replace("revision=\"1\"", "revision=\"2\"").replaceFirst("(?m)^.*s-a1.*\\n", "");
-        assertThat(ServerListChangePolicy.check(inUse, parse(withoutOneServer), 0.5)
+        assertThat(ServerListChangePolicy.decide(inUse, parse(withoutOneServer), 0.5)
                         .outcome())
                 .isEqualTo(Outcome.TAKEN);
-        assertThat(ServerListChangePolicy.check(inUse, parse(withoutOneServer), 0.3)
+        assertThat(ServerListChangePolicy.decide(inUse, parse(withoutOneServer), 0.3)
                         .outcome())
                 .isEqualTo(Outcome.HELD);
-        assertThat(ServerListChangePolicy.check(
+        assertThat(ServerListChangePolicy.decide(
                                 inUse,
                                 parse(withoutOneServer.replace("revision=\"2\"", "revision=\"3\" force=\"true\"")),
                                 0.3)
                         .outcome())
                 .isEqualTo(Outcome.TAKEN);
         String withoutHall = withoutOneServer.replaceFirst("(?m)^.*s-a2.*\\n", "");
-        assertThat(ServerListChangePolicy.check(inUse, parse(withoutHall), 1)).satisfies(v -> {
+        assertThat(ServerListChangePolicy.decide(inUse, parse(withoutHall), 1)).satisfies(v -> {
             assertThat(v.outcome()).isEqualTo(Outcome.HELD);
             assertThat(v.reason()).contains("hall hala-a empty");
         });
         String withoutServers =
                 validFile().replace("revision=\"1\"", "revision=\"2\"").replaceAll("(?m)^.*<server .*\\n", "");
-        assertThat(ServerListChangePolicy.check(inUse, parse(withoutServers), 1).outcome())
+        assertThat(ServerListChangePolicy.decide(inUse, parse(withoutServers), 1)
+                        .outcome())
                 .isEqualTo(Outcome.HELD);
-        assertThat(ServerListChangePolicy.check(null, parse(withoutServers), 1).outcome())
+        assertThat(ServerListChangePolicy.decide(null, parse(withoutServers), 1).outcome())
                 .isEqualTo(Outcome.HELD);
     }
 
     @Example
     void revisionsNeverGoBackNorChangeContent() {
         OperatorServerList revisionTwo = parse(validFile().replace("revision=\"1\"", "revision=\"2\""));
-        assertThat(ServerListChangePolicy.check(revisionTwo, parse(validFile()), 1)
+        assertThat(ServerListChangePolicy.decide(revisionTwo, parse(validFile()), 1)
                         .outcome())
                 .isEqualTo(Outcome.REFUSED);
-        assertThat(ServerListChangePolicy.check(revisionTwo, revisionTwo, 1).outcome())
+        assertThat(ServerListChangePolicy.decide(revisionTwo, revisionTwo, 1).outcome())
                 .isEqualTo(Outcome.SAME);
         OperatorServerList sameRevisionOtherContent =
                 parse(validFile().replace("revision=\"1\"", "revision=\"2\"").replace("weight=\"5\"", "weight=\"4\""));
-        assertThat(ServerListChangePolicy.check(revisionTwo, sameRevisionOtherContent, 1)
+        assertThat(ServerListChangePolicy.decide(revisionTwo, sameRevisionOtherContent, 1)
                         .outcome())
                 .isEqualTo(Outcome.REFUSED);
         assertThat(ServerListChangePolicy.diff(revisionTwo, sameRevisionOtherContent))
--- a/src/test/java/barrowshore/node/ClientGoneTest.java
+++ b/src/test/java/barrowshore/node/ClientGoneTest.java
@@ -205,11 +205,11 @@
         }
 
         @Override
-        public void countTurnedAway(int jobClass) {}
+        public void countRejected(int jobClass) {}
 
         @Override
-        public void askReady(Consumer<Boolean> asker) {
-            module.askReady(asker);
+        public void checkReady(Consumer<Boolean> asker) {
+            module.checkReady(asker);
         }
     }
 
--- a/src/test/java/barrowshore/operator/OperatorSettingsTest.java
+++ b/src/test/java/barrowshore/operator/OperatorSettingsTest.java
@@ -24,7 +24,8 @@
 
     @Test
     void exampleFileMatchesTheDefaults() throws IOException {
-        HallRules rules = OperatorSettings.parse("f", exampleFile()).halls().rulesFor(ZONES, 1);
+        HallRules rules =
+                OperatorSettings.parse("f", exampleFile()).hallSettings().rulesFor(ZONES, 1);
         assertThat(rules)
                 .isEqualTo(HallRules.defaults(ZONES, 1))
                 .isEqualTo(OperatorSettings.HallSettings.defaults().rulesFor(ZONES, 1));
@@ -42,10 +43,12 @@
                 .replace(
                         "<tier><hall name=\"hala-b\"/></tier>\n    </preference>\n    <preference",
                         "<tier><hall name=\"hala-c\"/></tier>\n    </preference>\n    <preference");
-        HallRules rules =
-                OperatorSettings.parse("f", threeHalls).halls().rulesFor(List.of("hala-a", "hala-b", "hala-c"), 0);
+        HallRules rules = OperatorSettings.parse("f", threeHalls)
+                .hallSettings()
+                .rulesFor(List.of("hala-a", "hala-b", "hala-c"), 0);
         assertThat(rules.tiersByHall()).containsExactly(0, 2, 1);
-        assertThatThrownBy(() -> OperatorSettings.parse("f", threeHalls).halls().rulesFor(ZONES, 0))
+        assertThatThrownBy(() ->
+                        OperatorSettings.parse("f", threeHalls).hallSettings().rulesFor(ZONES, 0))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("hala-c");
     }
--- a/src/test/java/barrowshore/servers/ServerTest.java
+++ b/src/test/java/barrowshore/servers/ServerTest.java
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public boolean mayBegin() {
+        public boolean maySend() {
             return mayBegin;
         }
 
@@ -163,7 +163,7 @@
         holdSelector();
         TestAttempt attempt = new TestAttempt("a1");
         server.send(attempt);
-        server.unlisted();
+        server.markUnlisted();
         heldSelector.release();
         assertThat(attempt.endStatus.get()).isEqualTo(Status.NOT_SENT);
         assertThat(bytesSentAfterRelease()).isEmpty();
--- a/src/test/java/barrowshore/wire/SettingsReaderTest.java
+++ b/src/test/java/barrowshore/wire/SettingsReaderTest.java
@@ -52,9 +52,9 @@
                 Map.of("of", 1L)));
         assertThat(reader.toSettings(7)).usingRecursiveComparison().isEqualTo(flat);
         assertThat(reader.itemNames("lanes")).containsExactly("menu");
-        assertThat(reader.listItems("kinds")).containsExactly("big_one", "small");
+        assertThat(reader.itemsOf("kinds")).containsExactly("big_one", "small");
         assertThat(Arrays.asList(flat.classes)).hasSize(1);
-        assertThat(flat.kinds).isEqualTo(2);
+        assertThat(flat.machineKinds).isEqualTo(2);
     }
 
     /** Undocumented keys are listed, each once however many classes have it; documented ones are not, even if unused. */
